--- a/packages/node/src/fielddrift_node/cluster.py
+++ b/packages/node/src/fielddrift_node/cluster.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from fielddrift_core.claims import Word
-from fielddrift_core.crashes import CrashNews
+from fielddrift_core.crashes import CrashUpdate
 from fielddrift_core.entry import SPREAD, EntryAnswer, audience, order
 from fielddrift_core.interfaces import HostEntry, OutsideError
 from fielddrift_core.membership import Member, Membership, Status, TargetWord
@@ -34,10 +34,10 @@
 class CrashTalk(Protocol):
     """What is known of crashes, as peers tell it each other."""
 
-    def take(self, news: CrashNews) -> bool:
+    def take(self, news: CrashUpdate) -> bool:
         """Take what a peer tells; return whether any of it is news."""
 
-    def recent(self) -> CrashNews:
+    def recent(self) -> CrashUpdate:
         """Return what a peer may lack."""
 
 
--- a/packages/node/src/fielddrift_node/crash_desk.py
+++ b/packages/node/src/fielddrift_node/crash_desk.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 import msgspec
-from fielddrift_core.crashes import Crash, CrashHistory, CrashNews, Held
+from fielddrift_core.crashes import Crash, CrashHistory, CrashUpdate, HeldRequest
 from fielddrift_core.errors import Ran, Refusal
 from fielddrift_core.interfaces import OutsideError, Row, Table, Transaction, Write
 from fielddrift_core.lost_runs import LostRun, LostRuns
@@ -72,7 +72,7 @@
         self._lost = LostRuns()
         self._probed: set[str] = set()
         """Targets that are about to be looked at."""
-        self._known: dict[str, Held] = {}
+        self._known: dict[str, HeldRequest] = {}
         self._unsaved: set[str] = set()
         """Requests whose rows this node is to write."""
         self._rows: set[str] = set()
@@ -97,7 +97,7 @@
         now = self._clock()
         with self._lock:
             history = self._history
-            held = (history.send if sending else history.held)(fingerprint, now)
+            held = (history.admit if sending else history.held)(fingerprint, now)
         if held is None:
             return None
         return held.refusal(now, Ran.NO if sure else Ran.UNKNOWN)
@@ -105,7 +105,7 @@
     def life(self, target: str, epoch: int) -> str:
         """Return the name of the life of `target` that runs now; `epoch` 0 where it is not told."""
         with self._lock:
-            number = epoch or self._history.ended_lives(target)
+            number = epoch or self._history.ended_instances(target)
         return life_name(target, number)
 
     def broke_off(self, run: LostRun, target: Target) -> None:
@@ -132,10 +132,10 @@
             history = self._history
             if history.is_empty:
                 return
-            news = history.concerns(fingerprint) and history.clear(fingerprint, now)
+            news = history.has_crashes(fingerprint) and history.clear(fingerprint, now)
             if history.ended_before(life, sent_at):
                 self._lost.lives(life)
-                news |= history.lives(life, sent_at)
+                news |= history.record_alive(life, sent_at)
         if news:
             self._note_held()
             self._changed()
@@ -143,7 +143,7 @@
     def lift(self, fingerprint: str) -> bool:
         """Let a request go, as an operator asks; return whether a crash was laid to it."""
         with self._lock:
-            if not self._history.concerns(fingerprint):
+            if not self._history.has_crashes(fingerprint):
                 return False
             self._history.clear(fingerprint, self._clock())
         get().info("request let go by an operator", fingerprint=fingerprint)
@@ -151,7 +151,7 @@
         self._changed()
         return True
 
-    def held(self) -> list[tuple[Held, float]]:
+    def held(self) -> list[tuple[HeldRequest, float]]:
         """Return all that is held back, and for how many seconds more."""
         now = self._clock()
         with self._lock:
@@ -190,7 +190,7 @@
         """Lay the end of a target to the runs that broke off there, and tell the peers."""
         for run in runs:
             with self._lock:
-                news = self._history.crashed(run.crash)
+                news = self._history.record_crash(run.crash)
                 ended = len(self._history.crashes_of(run.fingerprint))
                 if run.fingerprint in self._history.suspects:
                     self._unsaved.add(run.fingerprint)
@@ -211,14 +211,14 @@
 
     # --- peers ----------------------------------------------------------------
 
-    def take(self, news: CrashNews) -> bool:
+    def take(self, news: CrashUpdate) -> bool:
         """Take what a peer tells; return whether any of it is news."""
         with self._lock:
-            fresh = self._history.take(news, self._clock())
+            fresh = self._history.merge(news, self._clock())
         self._note_held()
         return any((fresh.crashes, fresh.cleared, fresh.living))
 
-    def recent(self) -> CrashNews:
+    def recent(self) -> CrashUpdate:
         """Return what a peer may lack."""
         now = self._clock()
         young = _YOUNG_SECONDS
@@ -226,7 +226,7 @@
             # Who was cut off for longer than that.
             self._whole_at, young = now, float("inf")
         with self._lock:
-            return self._history.news(now, most=_MOST_TOLD, young=young)
+            return self._history.update(now, limit=_MOST_TOLD, max_age=young)
 
     # --- rounds ---------------------------------------------------------------
 
@@ -282,7 +282,7 @@
         now, day = self._clock(), time.time()
         with self._lock:
             for target, at, ran in saved:
-                self._history.crashed(Crash(fingerprint, target, now - (day - at), ran))
+                self._history.record_crash(Crash(fingerprint, target, now - (day - at), ran))
             self._history.expire(now)
             # What is over, or was never whole, goes with the next turn.
             self._rows.add(fingerprint)
@@ -293,7 +293,7 @@
         with self._lock:
             held = {each.fingerprint: each for each in self._history.all_held(now)}
             known, self._known = self._known, held
-            gone = {n: self._history.concerns(n) for n in known.keys() - held.keys()}
+            gone = {n: self._history.has_crashes(n) for n in known.keys() - held.keys()}
         for name, each in held.items():
             if known.get(name) != each:
                 get().warning(
--- a/packages/node/src/fielddrift_node/peers.py
+++ b/packages/node/src/fielddrift_node/peers.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol, TypedDict, TypeVar
 
 from fielddrift_core.claims import ClaimRow, Word
-from fielddrift_core.crashes import Crash, CrashNews
+from fielddrift_core.crashes import Crash, CrashUpdate
 from fielddrift_core.interfaces import OutsideError
 from fielddrift_core.membership import Member, Status, TargetWord
 from grpclib.client import Channel
@@ -118,7 +118,7 @@
     living: list[pb.Since]
 
 
-def crashes_to(news: CrashNews) -> CrashFields:
+def crashes_to(news: CrashUpdate) -> CrashFields:
     """Return the message's fields for news of crashes."""
     return CrashFields(
         crashes=[
@@ -130,9 +130,9 @@
     )
 
 
-def crashes_from(message: pb.Gossip) -> CrashNews:
+def crashes_from(message: pb.Gossip) -> CrashUpdate:
     """Return the news of crashes in a message."""
-    return CrashNews(
+    return CrashUpdate(
         crashes=tuple(Crash(c.fingerprint, c.target, c.ago, c.ran) for c in message.crashes),
         cleared=tuple((each.name, each.ago) for each in message.cleared),
         living=tuple((each.name, each.ago) for each in message.living),
--- a/packages/node/src/fielddrift_node/serving/crash_rows.py
+++ b/packages/node/src/fielddrift_node/serving/crash_rows.py
@@ -155,4 +155,4 @@
             crashes = []
         self._saved[row.key] = len(crashes)
         for target, at, ran in crashes:
-            self._history.crashed(Crash(row.key, target, clock.heard + at - clock.clock, ran))
+            self._history.record_crash(Crash(row.key, target, clock.heard + at - clock.clock, ran))
--- a/packages/node/src/fielddrift_node/serving/crash_watch.py
+++ b/packages/node/src/fielddrift_node/serving/crash_watch.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 
 import structlog
-from fielddrift_core.crashes import CrashNews, Held
+from fielddrift_core.crashes import CrashUpdate, HeldRequest
 from fielddrift_core.errors import Ran
 from fielddrift_core.lost_runs import LostRun, LostRuns
 from fielddrift_core.neighbours import Neighbour, Neighbours
@@ -57,7 +57,7 @@
         neighbours: Neighbours,
         metrics: Metrics,
         rng: random.Random,
-        tell: Callable[[CrashNews, Sequence[Neighbour]], None],
+        tell: Callable[[CrashUpdate, Sequence[Neighbour]], None],
     ) -> None:
         self._views = views
         self._history = views.crashes
@@ -69,7 +69,7 @@
         self._loop = asyncio.get_running_loop()
         self._lost = LostRuns()
         self._probes: dict[str, asyncio.Task[None]] = {}
-        self._known: dict[str, Held] = {}
+        self._known: dict[str, HeldRequest] = {}
         self._told_at = float("-inf")
         self._whole_at = float("-inf")
 
@@ -83,9 +83,9 @@
     def begin(self, call: Call) -> None:
         """Take that a request is about to be sent; raise `Refused` for one that is held back."""
         if not self._history.is_empty:
-            self._refuse(call, self._history.send(call.fingerprint, self._loop.time()))
+            self._refuse(call, self._history.admit(call.fingerprint, self._loop.time()))
 
-    def _refuse(self, call: Call, held: Held | None) -> None:
+    def _refuse(self, call: Call, held: HeldRequest | None) -> None:
         if held is None:
             return
         ran = Ran.UNKNOWN if call.trace.unproved else Ran.NO
@@ -116,21 +116,23 @@
         if self._history.is_empty:
             return
         now = self._loop.time()
-        if self._history.concerns(call.fingerprint) and self._history.clear(call.fingerprint, now):
-            self._changed(CrashNews(cleared=((call.fingerprint, 0.0),)))
+        if self._history.has_crashes(call.fingerprint) and self._history.clear(
+            call.fingerprint, now
+        ):
+            self._changed(CrashUpdate(cleared=((call.fingerprint, 0.0),)))
         # It was sent after the target had been taken for ended.
         if self._history.ended_before(target, sent_at):
-            self._history.lives(target, sent_at)
+            self._history.record_alive(target, sent_at)
             self._lost.lives(target)
-            self._changed(CrashNews(living=((target, now - sent_at),)))
+            self._changed(CrashUpdate(living=((target, now - sent_at),)))
 
     def lift(self, fingerprint: str) -> bool:
         """Let a request go, as an operator asks; return whether a crash was laid to it."""
-        if not self._history.concerns(fingerprint):
+        if not self._history.has_crashes(fingerprint):
             return False
         _log.info("request let go by an operator", fingerprint=fingerprint)
         self._history.clear(fingerprint, self._loop.time())
-        self._changed(CrashNews(cleared=((fingerprint, 0.0),)))
+        self._changed(CrashUpdate(cleared=((fingerprint, 0.0),)))
         return True
 
     # --- targets --------------------------------------------------------------------
@@ -157,7 +159,7 @@
         now = self._loop.time()
         crashes = []
         for run in runs:
-            if not self._history.crashed(run.crash):
+            if not self._history.record_crash(run.crash):
                 continue
             crashes.append(run.crash._replace(at=now - run.at))
             self._metrics.crashes.inc()
@@ -170,13 +172,13 @@
                 ran_ms=round(run.ran * 1000),
                 ended=len(self._history.crashes_of(run.fingerprint)),
             )
-        self._changed(CrashNews(crashes=tuple(crashes)))
+        self._changed(CrashUpdate(crashes=tuple(crashes)))
 
     # --- other nodes ----------------------------------------------------------------
 
-    def heard(self, news: CrashNews) -> None:
+    def heard(self, news: CrashUpdate) -> None:
         """Take what another node tells, and hand on what is news."""
-        fresh = self._history.take(news, self._loop.time())
+        fresh = self._history.merge(news, self._loop.time())
         if not any((fresh.crashes, fresh.cleared, fresh.living)):
             return
         self._note_held()
@@ -185,26 +187,26 @@
         nodes = self._neighbours.remote_contacts(now) if near else self._neighbours.near(now)
         self._send(fresh, nodes)
 
-    def recent(self) -> CrashNews:
+    def recent(self) -> CrashUpdate:
         """Return what a node that was away may lack."""
         now = self._loop.time()
         young = _YOUNG_SECONDS
         if now - self._whole_at > _WHOLE_SECONDS:
             # Who was cut off for longer than that.
             self._whole_at, young = now, float("inf")
-        return self._history.news(now, most=_MOST_TOLD, young=young)
+        return self._history.update(now, limit=_MOST_TOLD, max_age=young)
 
     def greet(self, node: Neighbour) -> None:
         """Tell a node that is heard for the first time in its life."""
         self._send(self.recent(), [node])
 
-    def _changed(self, news: CrashNews) -> None:
+    def _changed(self, news: CrashUpdate) -> None:
         self._note_held()
         now = self._loop.time()
         nodes = [*self._neighbours.near(now), *self._neighbours.remote_contacts(now)]
         self._send(news, nodes)
 
-    def _send(self, news: CrashNews, nodes: Sequence[Neighbour]) -> None:
+    def _send(self, news: CrashUpdate, nodes: Sequence[Neighbour]) -> None:
         own = news._replace(data_centre=self._neighbours.me.data_centre)
         for start in range(0, len(news.crashes), _MOST_TOLD):
             crashes = news.crashes[start : start + _MOST_TOLD]
@@ -222,7 +224,7 @@
             await asyncio.sleep(_TICK_SECONDS)
             now = self._loop.time()
             self._settle(now)
-            if self._history.remembers:
+            if self._history.has_updates:
                 self._history.expire(now)
                 self._note_held()
                 self._tell_one(now)
@@ -256,7 +258,7 @@
                     seconds=round(each.until - now, 1),
                 )
         for name in self._known.keys() - held.keys():
-            over = self._history.concerns(name)
+            over = self._history.has_crashes(name)
             _log.info("request let go", fingerprint=name, reason="over" if over else "cleared")
         self._known = held
         self._metrics.held_back.set(len(held))
--- a/packages/node/src/fielddrift_node/serving/gossip.py
+++ b/packages/node/src/fielddrift_node/serving/gossip.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import structlog
-from fielddrift_core.crashes import CrashNews
+from fielddrift_core.crashes import CrashUpdate
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Standing
 
 __all__ = ["CrashTalk", "Gossip", "Reach"]
@@ -40,7 +40,7 @@
 class CrashTalk(Protocol):
     """Who hears of crashes, and greets nodes with what is known of them."""
 
-    def heard(self, news: CrashNews) -> None:
+    def heard(self, news: CrashUpdate) -> None:
         """Take what another node tells."""
 
     def greet(self, node: Neighbour) -> None:
@@ -74,7 +74,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Heartbeat)
-        self._crash_decoder = msgspec.msgpack.Decoder(CrashNews)
+        self._crash_decoder = msgspec.msgpack.Decoder(CrashUpdate)
         self._soon: asyncio.TimerHandle | None = None
         self._soon_at = float("-inf")
         self._reach = Reach.ACTIVE_NEARBY
@@ -119,7 +119,7 @@
         """Send a heartbeat to all nodes at once."""
         self._send(self._concerned(Reach.EVERYWHERE, self._loop.time()))
 
-    def tell_crashes(self, news: CrashNews, nodes: Sequence[Neighbour]) -> None:
+    def tell_crashes(self, news: CrashUpdate, nodes: Sequence[Neighbour]) -> None:
         """Tell `nodes` of crashes."""
         data = _CRASHES_MARK + self._encoder.encode(news)
         for node in nodes:
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -146,7 +146,7 @@
         for node in nodes:
             for number in range(3):
                 crash = Crash("f" * 16, f"t{number}", now - 100.0, 0.1)
-                node.node.views.crashes.crashed(crash)
+                node.node.views.crashes.record_crash(crash)
         # The other one is not told: its datagrams were lost then.
         nodes[0].node.views.crashes.clear("f" * 16, now - 60.0)
         await eventually(lambda: not nodes[1].node.views.crashes.all_held(0.0), 15.0)
--- a/tests/test_crash_desk.py
+++ b/tests/test_crash_desk.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from unittest import mock
 
-from fielddrift_core.crashes import CrashNews
+from fielddrift_core.crashes import CrashUpdate
 from fielddrift_core.interfaces import OutsideError, Row
 from fielddrift_core.lost_runs import LostRun
 from fielddrift_core.model import Target, TargetRole
@@ -51,7 +51,7 @@
     def test_a_crash_soon_after_a_lost_answer_is_seen(self) -> None:
         self._break_off()
         time.sleep(0.3)
-        self.assertEqual(self.desk.recent(), CrashNews())
+        self.assertEqual(self.desk.recent(), CrashUpdate())
         self.listener.close()
         self._break_off()
         wait_until(lambda: self.desk.recent().crashes, "the crash is seen", 2.0)
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -107,7 +107,7 @@
         crashes = [Crash("f" * 16, f"t{number}", 0.0, 0.1) for number in range(3)]
         now = asyncio.get_running_loop().time()
         for crash in crashes:
-            node.node.views.crashes.crashed(crash._replace(at=now))
+            node.node.views.crashes.record_crash(crash._replace(at=now))
         await eventually(lambda: store.get("crashes", "f" * 16) is not None)
         store.go_back(copy)
         self.assertIsNone(store.get("members", "node-late"))
