--- a/bench/choice.py
+++ b/bench/choice.py
@@ -16,14 +16,14 @@
 
 import click
 from fielddrift_core.catalog import (
+    AnswerFormat,
     Catalog,
     EngineTraits,
-    Repeat,
+    RepeatPolicy,
     Route,
     Service,
     Share,
     StoreTraits,
-    Transport,
 )
 from fielddrift_core.neighbours import Neighbour, Neighbours
 from fielddrift_core.prompt import Part, Prompt
@@ -93,7 +93,7 @@
     services = [Service(_SERVICE, 1300, engine=traits)]
     services += [_store(number) for number in range(fleet.stores)]
     route = Route(
-        "r", "h", "/", Transport.EVENTS, Repeat.FREELY, 12.0, 0.5, 0,
+        "r", "h", "/", AnswerFormat.EVENTS, RepeatPolicy.FREELY, 12.0, 0.5, 0,
         (Share(_SERVICE, 1),), 2, True, True, 0.25,
     )  # fmt: skip
     by_name = {service.name: service for service in services}
--- a/bench/lab/laboratory.py
+++ b/bench/lab/laboratory.py
@@ -7,14 +7,14 @@
 from typing import NamedTuple
 
 from fielddrift_core.catalog import (
+    AnswerFormat,
     Catalog,
     EngineTraits,
-    Repeat,
+    RepeatPolicy,
     Route,
     Service,
     Share,
     StoreTraits,
-    Transport,
 )
 from fielddrift_core.prompt import Part
 from fielddrift_core.target_registry import Instance
@@ -178,16 +178,16 @@
                 name=name,
                 host=_HOST,
                 prefix=f"/{name}/",
-                transport=Transport.EVENTS,
-                repeat=Repeat.FREELY,
+                answer_format=AnswerFormat.EVENTS,
+                repeat_policy=RepeatPolicy.FREELY,
                 timeout=sizes.patience * _LONG_PATIENCE,
-                aim=sizes.aim,
-                rank=rank,
+                latency_goal=sizes.aim,
+                priority=rank,
                 shares=(Share(_SERVICE, 1),),
                 attempts=2,
                 anonymous=True,
                 resumable=True,
-                pause_aim=_PAUSE_AIM,
+                gap_goal=_PAUSE_AIM,
             )
             for name, rank in (("urgent", 0), ("long", 1))
         )
--- a/bench/lab/stores.py
+++ b/bench/lab/stores.py
@@ -62,4 +62,4 @@
         if start - now > _MOST_WAIT_SECONDS:
             return None
         self._free_at = start + size / self.traits.link_rate
-        return self._free_at + self.traits.first_byte
+        return self._free_at + self.traits.first_byte_delay
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -9,7 +9,7 @@
 import random
 from typing import NamedTuple
 
-from fielddrift_core.model import Weights
+from fielddrift_core.model import CostWeights
 
 __all__ = ["CIRCLE_DAY", "LOADS", "MATCHDAY", "Ask", "LoadShape", "make"]
 
@@ -24,7 +24,7 @@
     """
 
     name: str
-    weights: Weights
+    weights: CostWeights
     rate: float
     capacity: float
     seconds: float
@@ -56,7 +56,7 @@
 
 MATCHDAY = LoadShape(
     name="matchday",
-    weights=Weights(ttft=1.0, recompute=0.05, link=0.05),
+    weights=CostWeights(ttft=1.0, recompute=0.05, link=0.05),
     rate=12.0,
     capacity=20.0,
     seconds=120.0,
@@ -71,7 +71,7 @@
 
 CIRCLE_DAY = LoadShape(
     name="circle-day",
-    weights=Weights(ttft=0.1, recompute=3.0, link=0.3),
+    weights=CostWeights(ttft=0.1, recompute=3.0, link=0.3),
     rate=2.0,
     capacity=5.0,
     seconds=400.0,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -24,8 +24,8 @@
 from fielddrift_core.commands import CreateCustomer, apply
 from fielddrift_core.configlog import decode_snapshot, encode_snapshot
 from fielddrift_core.membership import Member, Membership
-from fielddrift_core.model import Configuration, Customer, Target, TargetRole, Weights
-from fielddrift_core.names import chain, rank
+from fielddrift_core.model import Configuration, CostWeights, Customer, Target, TargetRole
+from fielddrift_core.names import chained_digests, rank
 from fielddrift_core.routing import POLICIES, Kept, Load, Need, draw
 from fielddrift_node.board import Board
 from fielddrift_node.metrics import Metrics
@@ -227,7 +227,7 @@
     """Measure a whole decision among 13 to 800 targets."""
     points = []
     rng = random.Random(1)
-    need = Need(8000, 32, Weights(), Kept(30, 120_000, 0.1, 0.1))
+    need = Need(8000, 32, CostWeights(), Kept(30, 120_000, 0.1, 0.1))
     for count in (13, 50, 200, 400, 800):
         targets = [
             Target(f"t{n}", TargetRole.ENGINE, "127.0.0.1:1", "dc", "m") for n in range(count)
@@ -250,7 +250,7 @@
     name: str, board: Board, targets: list[Target], need: Need, rng: random.Random
 ) -> float:
     """Return the time of one decision: hints, draw, views and choice."""
-    digests = chain(b"x" * 32 * 1024, salt="s")
+    digests = chained_digests(b"x" * 32 * 1024, salt="s")
 
     def decide() -> None:
         warm = board.warm(digests)
--- a/packages/cli/src/fielddrift_cli/client.py
+++ b/packages/cli/src/fielddrift_cli/client.py
@@ -6,7 +6,7 @@
 import uuid
 from typing import Any, NamedTuple
 
-from fielddrift_core.errors import Kind
+from fielddrift_core.errors import ErrorKind
 
 from .exchange import NoAnswer, exchange
 
@@ -49,7 +49,7 @@
             if status:
                 return _outcome(status, raw)
         detail = f"none of {', '.join(self._nodes)} answers"
-        return Outcome(None, {"type": f"urn:fielddrift:{Kind.NO_TARGET}", "detail": detail})
+        return Outcome(None, {"type": f"urn:fielddrift:{ErrorKind.NO_TARGET}", "detail": detail})
 
     def _post(self, node: str, body: bytes) -> tuple[int, bytes]:
         headers = [f"Authorization: Bearer {self._key}", "Content-Type: application/json"]
--- a/packages/cli/src/fielddrift_cli/main.py
+++ b/packages/cli/src/fielddrift_cli/main.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import click
-from fielddrift_core.errors import ANSWERS, Kind
+from fielddrift_core.errors import ERROR_RESPONSES, ErrorKind
 from prompt_toolkit import PromptSession
 from prompt_toolkit.history import FileHistory
 from tabulate import tabulate
@@ -92,7 +92,7 @@
     for outcome in outcomes:
         click.echo(f"{outcome.address}: {outcome.fault or 'let go'}", err=bool(outcome.fault))
     if all(outcome.fault for outcome in outcomes):
-        sys.exit(ANSWERS[Kind.NOT_FOUND].exit_code)
+        sys.exit(ERROR_RESPONSES[ErrorKind.NOT_FOUND].exit_code)
 
 
 def _check_metrics(nodes: tuple[str, ...]) -> None:
@@ -115,7 +115,7 @@
     for answer in faults:
         click.echo(f"{answer.address}: {answer.fault}", err=True)
     if faults:
-        sys.exit(ANSWERS[Kind.NO_TARGET].exit_code)
+        sys.exit(ERROR_RESPONSES[ErrorKind.NO_TARGET].exit_code)
 
 
 def _statements(file: str) -> Iterator[str]:
@@ -165,7 +165,7 @@
         pending = wait and outcome.answer and outcome.answer.get("in_force") is False
         return _FAILED if pending else 0
     name = str(outcome.problem.get("type", "")).rsplit(":", 1)[-1]
-    return ANSWERS[Kind(name)].exit_code if name in set(Kind) else _FAILED
+    return ERROR_RESPONSES[ErrorKind(name)].exit_code if name in set(ErrorKind) else _FAILED
 
 
 if __name__ == "__main__":
--- a/packages/core/src/fielddrift_core/admission.py
+++ b/packages/core/src/fielddrift_core/admission.py
@@ -11,7 +11,7 @@
 
 import math
 
-from .errors import Kind, Ran, Refusal
+from .errors import ErrorKind, Ran, Refusal
 from .routing import PATIENCE_PART
 
 __all__ = ["Admission"]
@@ -73,12 +73,12 @@
         use.share = share
         if ttft > (RETURN_PART if returning else PATIENCE_PART) * patience:
             detail = f"first token estimated in {ttft:.2f} s, wanted within {patience:.2f} s"
-            kind = Kind.OVERLOADED if wait > 0 else Kind.DEADLINE
+            kind = ErrorKind.OVERLOADED if wait > 0 else ErrorKind.DEADLINE
             return Refusal(kind, detail, Ran.NO, self._come_back(wait, tokens, room_rate, now))
         if wait > BUSY_SHARE * patience and self._over_share(customer, now):
             detail = f"customer {customer!r}: over its share while targets are busy"
             after = self._come_back(wait, tokens, room_rate, now)
-            return Refusal(Kind.OVER_SHARE, detail, Ran.NO, after)
+            return Refusal(ErrorKind.OVER_SHARE, detail, Ran.NO, after)
         use.add(tokens, now)
         return None
 
--- a/packages/core/src/fielddrift_core/catalog.py
+++ b/packages/core/src/fielddrift_core/catalog.py
@@ -14,23 +14,23 @@
     "Catalog",
     "CatalogCustomer",
     "EngineTraits",
-    "Repeat",
+    "RepeatPolicy",
     "Route",
     "Service",
     "Share",
     "StoreTraits",
-    "Transport",
+    "AnswerFormat",
 ]
 
 
-class Repeat(StrEnum):
+class RepeatPolicy(StrEnum):
     """How often the work of a request may be done."""
 
     FREELY = "freely"
     ONCE = "once"
 
 
-class Transport(StrEnum):
+class AnswerFormat(StrEnum):
     """What an answer looks like: one body, or events as they are made."""
 
     WHOLE = "whole"
@@ -47,30 +47,30 @@
 class Route(NamedTuple):
     """Where requests of one host and path prefix go; times in seconds.
 
-    `attempts` bounds the targets that one request may be sent to.  `rank`
+    `attempts` bounds the targets that one request may be sent to.  `priority`
     orders kinds of requests, 0 first.  A `resumable` stream may go on at its
-    next event elsewhere.  `pause_aim` is the longest pause between events
+    next event elsewhere.  `gap_goal` is the longest pause between events
     that still counts as in time.
     """
 
     name: str
     host: str
     prefix: str
-    transport: Transport
-    repeat: Repeat
+    answer_format: AnswerFormat
+    repeat_policy: RepeatPolicy
     timeout: float
-    aim: float
-    rank: int
+    latency_goal: float
+    priority: int
     shares: tuple[Share, ...]
     attempts: int
     anonymous: bool
     resumable: bool
-    pause_aim: float
+    gap_goal: float
 
     @property
     def repeatable(self) -> bool:
         """Return whether a request that may have run may be sent again."""
-        return self.repeat is Repeat.FREELY
+        return self.repeat_policy is RepeatPolicy.FREELY
 
 
 class EngineTraits(NamedTuple):
@@ -85,23 +85,23 @@
     token_bytes: int
     link_rate: float
     models: tuple[str, ...]
-    listeners: int
+    max_event_calls: int
 
 
 class StoreTraits(NamedTuple):
     """A store host: `capacity` in tokens, `link_rate` in bytes a second.
 
-    `first_byte` is the seconds each move waits before it starts.  A `managed`
-    store frees nothing by itself.  `listeners` bounds its event calls.
+    `first_byte_delay` is the seconds each move waits before it starts.  A `managed`
+    store frees nothing by itself.  `max_event_calls` bounds its event calls.
     """
 
     address: str
     data_centre: str
     capacity: int
     link_rate: float
-    first_byte: float
+    first_byte_delay: float
     managed: bool
-    listeners: int
+    max_event_calls: int
 
 
 class Service(NamedTuple):
@@ -125,7 +125,7 @@
 
     name: str
     isolated: bool = False
-    rank: int | None = None
+    priority: int | None = None
 
 
 class Catalog(NamedTuple):
@@ -152,10 +152,10 @@
         return self.customers.get(key)
 
     @property
-    def ranks(self) -> list[int]:
+    def priorities(self) -> list[int]:
         """Return the ranks that prompts may have, the most urgent first."""
-        routes = {route.rank for entries in self.routes.values() for route in entries}
-        customers = {c.rank for c in self.customers.values() if c.rank is not None}
+        routes = {route.priority for entries in self.routes.values() for route in entries}
+        customers = {c.priority for c in self.customers.values() if c.priority is not None}
         return sorted(routes | customers)
 
     @property
--- a/packages/core/src/fielddrift_core/claims.py
+++ b/packages/core/src/fielddrift_core/claims.py
@@ -13,30 +13,30 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from .errors import Kind, Ran, Refusal
+from .errors import ErrorKind, Ran, Refusal
 
 __all__ = [
-    "Ask",
-    "ClaimBook",
+    "AskClaimant",
+    "AttemptRegistry",
     "ClaimRow",
     "ClaimState",
-    "Claiming",
-    "Event",
-    "Found",
-    "Insert",
-    "Outcome",
-    "Seen",
-    "Step",
-    "TakeOver",
-    "Word",
+    "ClaimSteps",
+    "ClaimEvent",
+    "ClaimDecision",
+    "InsertClaim",
+    "ClaimOutcome",
+    "StoredClaim",
+    "ClaimStep",
+    "TakeOverClaim",
+    "AttemptStatus",
     "claim_key",
-    "claiming",
-    "judge",
-    "table_down",
+    "claim_steps",
+    "decide",
+    "table_unavailable",
 ]
 
 
-RETRY_AFTER = 2.0
+RETRY_AFTER_SECONDS = 2.0
 
 
 class ClaimState(StrEnum):
@@ -47,7 +47,7 @@
     NOT_RUN = "not-run"
 
 
-class Word(StrEnum):
+class AttemptStatus(StrEnum):
     """What a claimant says of its own claim when a peer asks."""
 
     RUNNING = "running"
@@ -76,7 +76,7 @@
     body: str | None = None
 
 
-class Found(NamedTuple):
+class ClaimDecision(NamedTuple):
     """What a row found in the table means: run, answer with it, take it over, or refuse."""
 
     run: bool = False
@@ -85,33 +85,33 @@
     refusal: Refusal | None = None
 
 
-class Seen(NamedTuple):
+class StoredClaim(NamedTuple):
     """A claim row as the table has it, with its version there."""
 
     row: ClaimRow
     version: int
 
 
-class Insert(NamedTuple):
+class InsertClaim(NamedTuple):
     """Step: insert `row` unless its key is there; the event is what is there then."""
 
     row: ClaimRow
 
 
-class Ask(NamedTuple):
+class AskClaimant(NamedTuple):
     """Step: ask the claimant of `row` for its word; the event is the word."""
 
     row: ClaimRow
 
 
-class TakeOver(NamedTuple):
+class TakeOverClaim(NamedTuple):
     """Step: write `row` over the version given; the event is what is there then."""
 
     row: ClaimRow
     version: int
 
 
-class Outcome(NamedTuple):
+class ClaimOutcome(NamedTuple):
     """The end of claiming: held at `version`, the kept row, or a refusal."""
 
     version: int = 0
@@ -119,9 +119,9 @@
     refusal: Refusal | None = None
 
 
-Step = Insert | Ask | TakeOver
-Event = Seen | Word | None
-Claiming = Generator[Step, Event, Outcome]
+ClaimStep = InsertClaim | AskClaimant | TakeOverClaim
+ClaimEvent = StoredClaim | AttemptStatus | None
+ClaimSteps = Generator[ClaimStep, ClaimEvent, ClaimOutcome]
 
 
 def claim_key(customer: str, key: str) -> str:
@@ -129,76 +129,80 @@
     return f"claim/{customer}/{key}"
 
 
-def judge(row: ClaimRow, mine: ClaimRow, word: Word | None) -> Found:
+def decide(row: ClaimRow, mine: ClaimRow, word: AttemptStatus | None) -> ClaimDecision:
     """Decide what `row`, found in the table, means for the request of `mine`.
 
     `word` is what the row's claimant says, None when it was not asked or gave
     no answer.  A row with our own attempt is our insert whose answer was lost.
     """
     if row.digest != mine.digest:
-        return Found(refusal=_key_reused(row))
+        return ClaimDecision(refusal=_key_reused(row))
     if row.state is ClaimState.RAN:
-        return Found(kept=row) if row.body is not None else Found(refusal=_not_kept(row))
+        return (
+            ClaimDecision(kept=row)
+            if row.body is not None
+            else ClaimDecision(refusal=_not_kept(row))
+        )
     if row.state is ClaimState.NOT_RUN:
-        return Found(take_over=True)
+        return ClaimDecision(take_over=True)
     if row.attempt == mine.attempt:
-        return Found(run=True)
-    if word is Word.NEVER:
-        return Found(take_over=True)
-    if word is Word.RUNNING:
-        return Found(refusal=_running(row))
-    return Found(refusal=_unknown(row))
+        return ClaimDecision(run=True)
+    if word is AttemptStatus.NEVER:
+        return ClaimDecision(take_over=True)
+    if word is AttemptStatus.RUNNING:
+        return ClaimDecision(refusal=_running(row))
+    return ClaimDecision(refusal=_unknown(row))
 
 
-def claiming(mine: ClaimRow, book: ClaimBook) -> Claiming:
+def claim_steps(mine: ClaimRow, book: AttemptRegistry) -> ClaimSteps:
     """Yield the steps that claim `mine`; the outcome is the generator's value.
 
     Send None as the event of a write when it is not known whether it took
     effect: the attempt is then abandoned before anything else is said.
     """
     book.open(mine.attempt)
-    event = yield Insert(mine)
-    while isinstance(event, Seen):
+    event = yield InsertClaim(mine)
+    while isinstance(event, StoredClaim):
         seen = event
         if seen.row.attempt == mine.attempt and seen.row.state is ClaimState.CLAIMED:
-            return Outcome(version=seen.version)
+            return ClaimOutcome(version=seen.version)
         word = None
         if seen.row.state is ClaimState.CLAIMED:
-            answered = yield Ask(seen.row)
-            word = answered if isinstance(answered, Word) else None
-        found = judge(seen.row, mine, word)
+            answered = yield AskClaimant(seen.row)
+            word = answered if isinstance(answered, AttemptStatus) else None
+        found = decide(seen.row, mine, word)
         if not found.take_over:
             book.abandon(mine.attempt)
-            return Outcome(kept=found.kept, refusal=found.refusal)
-        event = yield TakeOver(mine, seen.version)
+            return ClaimOutcome(kept=found.kept, refusal=found.refusal)
+        event = yield TakeOverClaim(mine, seen.version)
     book.abandon(mine.attempt)
-    return Outcome(refusal=table_down("whether the claim was written is not known"))
+    return ClaimOutcome(refusal=table_unavailable("whether the claim was written is not known"))
 
 
-def table_down(why: str) -> Refusal:
+def table_unavailable(why: str) -> Refusal:
     """Return the refusal for a claim that the table did not confirm."""
     detail = f"a request that may not be repeated needs the platform's table: {why}"
-    return Refusal(Kind.PLATFORM_DOWN, detail, Ran.NO, retry_after=RETRY_AFTER)
+    return Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.NO, retry_after=RETRY_AFTER_SECONDS)
 
 
 def _key_reused(row: ClaimRow) -> Refusal:
     detail = f"Idempotency-Key {row.key!r}: used before with another body, method or path"
-    return Refusal(Kind.KEY_REUSED, detail, Ran.NO)
+    return Refusal(ErrorKind.KEY_REUSED, detail, Ran.NO)
 
 
 def _running(row: ClaimRow) -> Refusal:
     detail = f"Idempotency-Key {row.key!r}: the first request is still running"
-    return Refusal(Kind.ALREADY_RUNNING, detail, Ran.UNKNOWN, retry_after=1.0)
+    return Refusal(ErrorKind.ALREADY_RUNNING, detail, Ran.UNKNOWN, retry_after=1.0)
 
 
 def _not_kept(row: ClaimRow) -> Refusal:
     detail = f"Idempotency-Key {row.key!r}: ran with status {row.status}"
-    return Refusal(Kind.NOT_KEPT, detail, Ran.YES)
+    return Refusal(ErrorKind.NOT_KEPT, detail, Ran.YES)
 
 
 def _unknown(row: ClaimRow) -> Refusal:
     detail = f"Idempotency-Key {row.key!r}: claimed by a node that cannot be asked; not run again"
-    return Refusal(Kind.OUTCOME_UNKNOWN, detail, Ran.UNKNOWN)
+    return Refusal(ErrorKind.OUTCOME_UNKNOWN, detail, Ran.UNKNOWN)
 
 
 class _Stage(StrEnum):
@@ -207,7 +211,7 @@
     NEVER = "never"
 
 
-class ClaimBook:
+class AttemptRegistry:
     """Remember what this incarnation did with each of its own attempts.
 
     The book answers peers.  Sending and abandoning exclude each other: the
@@ -238,7 +242,7 @@
         self._stages[attempt] = _Stage.NEVER
         return True
 
-    def proved_not_run(self, attempt: str) -> None:
+    def mark_not_run(self, attempt: str) -> None:
         """Settle `attempt` as never run: its target proved it, or nothing was sent."""
         self._stages[attempt] = _Stage.NEVER
 
@@ -247,11 +251,11 @@
         if self._stages.get(attempt) is _Stage.SENT:
             del self._stages[attempt]
 
-    def word(self, attempt: str) -> Word:
+    def word(self, attempt: str) -> AttemptStatus:
         """Return what this node can say of `attempt`."""
         match self._stages.get(attempt):
             case _Stage.NEVER:
-                return Word.NEVER
+                return AttemptStatus.NEVER
             case _Stage.OPEN | _Stage.SENT:
-                return Word.RUNNING
-        return Word.UNKNOWN
+                return AttemptStatus.RUNNING
+        return AttemptStatus.UNKNOWN
--- a/packages/core/src/fielddrift_core/commands.py
+++ b/packages/core/src/fielddrift_core/commands.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from .errors import Kind, Refusal
+from .errors import ErrorKind, Refusal
 from .model import (
     ENGINE_WORK,
     Configuration,
+    CostWeights,
     Customer,
     Deployment,
     HoldRule,
     StoreHost,
     Target,
     TargetRole,
-    Weights,
 )
 
 __all__ = [
@@ -87,7 +87,7 @@
 
     name: str
     version: str
-    weights: Weights
+    weights: CostWeights
 
 
 class PrepareVersion(NamedTuple):
@@ -212,33 +212,35 @@
 # --- helpers ---------------------------------------------------------------
 
 
-def _reject(kind: Kind, detail: str) -> Rejected:
+def _reject(kind: ErrorKind, detail: str) -> Rejected:
     return Rejected(Refusal(kind, detail))
 
 
 def _check_name(what: str, name: str) -> None:
     if not _NAME.fullmatch(name):
-        raise _reject(Kind.BAD_REQUEST, f"{what}: {name!r}, expected {_NAME.pattern}")
+        raise _reject(ErrorKind.BAD_REQUEST, f"{what}: {name!r}, expected {_NAME.pattern}")
 
 
 def _check_address(what: str, address: str) -> None:
     if not _ADDRESS.fullmatch(address):
-        raise _reject(Kind.BAD_REQUEST, f"{what}: {address!r}, expected an IP number and a port")
+        raise _reject(
+            ErrorKind.BAD_REQUEST, f"{what}: {address!r}, expected an IP number and a port"
+        )
 
 
 def _check_positive(what: str, number: float) -> None:
     if not number > 0:
-        raise _reject(Kind.BAD_REQUEST, f"{what}: {number}, expected a number above 0")
+        raise _reject(ErrorKind.BAD_REQUEST, f"{what}: {number}, expected a number above 0")
 
 
 def _check_new(what: str, name: str, known: Mapping[str, object]) -> None:
     if name in known:
-        raise _reject(Kind.CONFLICT, f"{what}: {name!r} is there already")
+        raise _reject(ErrorKind.CONFLICT, f"{what}: {name!r} is there already")
 
 
 def _known(what: str, name: str, known: Mapping[str, _C]) -> _C:
     if name not in known:
-        raise _reject(Kind.NOT_FOUND, f"{what}: {name!r} is not known")
+        raise _reject(ErrorKind.NOT_FOUND, f"{what}: {name!r} is not known")
     return known[name]
 
 
@@ -288,7 +290,9 @@
     _known("customer", rule.customer, configuration.customers)
     _check_positive("seconds", rule.seconds)
     if not 0 < rule.chance <= 1:
-        raise _reject(Kind.BAD_REQUEST, f"chance: {rule.chance}, expected above 0 and at most 1")
+        raise _reject(
+            ErrorKind.BAD_REQUEST, f"chance: {rule.chance}, expected above 0 and at most 1"
+        )
     return configuration._replace(holds={**configuration.holds, rule.customer: rule})
 
 
@@ -311,7 +315,7 @@
     deployment = _known("model", command.name, configuration.deployments)
     _check_name("version", command.version)
     if command.version in deployment.wanted:
-        raise _reject(Kind.CONFLICT, f"version: {command.version!r} is prepared already")
+        raise _reject(ErrorKind.CONFLICT, f"version: {command.version!r} is prepared already")
     prepared = deployment._replace(prepared=(*deployment.prepared, command.version))
     return configuration._replace(deployments={**configuration.deployments, command.name: prepared})
 
@@ -321,7 +325,7 @@
     deployment = _known("model", command.name, configuration.deployments)
     if command.version not in deployment.prepared:
         detail = f"version: {command.version!r} of {command.name!r} is not prepared"
-        raise _reject(Kind.CONFLICT, detail)
+        raise _reject(ErrorKind.CONFLICT, detail)
     swapped = deployment._replace(version=command.version, prepared=(), previous=deployment.version)
     return configuration._replace(deployments={**configuration.deployments, command.name: swapped})
 
@@ -364,7 +368,8 @@
     if target.role is not TargetRole.ENGINE or command.work not in ENGINE_WORK:
         expected = f"an engine and one of {', '.join(ENGINE_WORK)}"
         raise _reject(
-            Kind.BAD_REQUEST, f"work of {command.name!r}: {command.work!r}, expected {expected}"
+            ErrorKind.BAD_REQUEST,
+            f"work of {command.name!r}: {command.work!r}, expected {expected}",
         )
     changed = target._replace(work=command.work)
     return configuration._replace(targets={**configuration.targets, command.name: changed})
--- a/packages/core/src/fielddrift_core/configlog.py
+++ b/packages/core/src/fielddrift_core/configlog.py
@@ -28,7 +28,7 @@
 ]
 
 HEAD_KEY = "config/head"
-SNAPSHOT_EVERY = 50
+SNAPSHOT_INTERVAL_REVISIONS = 50
 
 
 class LogEntry(NamedTuple):
@@ -104,7 +104,7 @@
         """Return whether accepted entries are missing here."""
         return self.heard > self.revision
 
-    def hear(self, revision: int) -> None:
+    def note_accepted(self, revision: int) -> None:
         """Note that `revision` was accepted somewhere."""
         self._heard = max(self._heard, revision)
 
@@ -120,7 +120,7 @@
         self._heard = max(self._heard, entry.revision)
         return self._advance()
 
-    def take_snapshot(self, configuration: Configuration) -> bool:
+    def apply_snapshot(self, configuration: Configuration) -> bool:
         """Jump to a later configuration; False when it is not later."""
         if configuration.revision <= self.revision:
             return False
--- a/packages/core/src/fielddrift_core/crashes.py
+++ b/packages/core/src/fielddrift_core/crashes.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from .errors import Kind, Ran, Refusal
+from .errors import ErrorKind, Ran, Refusal
 from .target_registry import target_id
 
 __all__ = ["CRASHES_TO_HOLD", "Crash", "CrashHistory", "CrashUpdate", "HeldRequest"]
@@ -81,7 +81,7 @@
             f"request {self.fingerprint} is held back for {left:.1f} s: "
             f"{len(self.targets)} targets ended while they ran it: {', '.join(self.targets)}"
         )
-        return Refusal(Kind.HELD_BACK, detail, ran, left)
+        return Refusal(ErrorKind.HELD_BACK, detail, ran, left)
 
 
 class CrashHistory:
--- a/packages/core/src/fielddrift_core/entry.py
+++ b/packages/core/src/fielddrift_core/entry.py
@@ -14,22 +14,29 @@
 from .membership import Member
 from .names import rank
 
-__all__ = ["KEEP_SECONDS", "SMALL_FLEET", "SPREAD", "EntryAnswer", "audience", "order"]
-
-KEEP_SECONDS = 10.0
-SPREAD = 2
+__all__ = [
+    "TTL_SECONDS",
+    "SMALL_FLEET_NODE_COUNT",
+    "SPREAD_NODE_COUNT",
+    "EntryAnswer",
+    "audience",
+    "order",
+]
+
+TTL_SECONDS = 10.0
+SPREAD_NODE_COUNT = 2
 """Nodes of a data centre among which a model's callers are shared out."""
 
-SMALL_FLEET = 12
+SMALL_FLEET_NODE_COUNT = 12
 
-_MOST_ADDRESSES = 8
+_MAX_ADDRESS_COUNT = 8
 
 
 class EntryAnswer(NamedTuple):
     """The addresses to use, best first, and how long to keep them, in seconds."""
 
     addresses: tuple[str, ...]
-    keep: float
+    ttl: float
 
 
 def order(
@@ -37,19 +44,19 @@
     *,
     data_centre: str,
     model: str = "",
-    keep: float = KEEP_SECONDS,
-    turn: int = 0,
+    ttl: float = TTL_SECONDS,
+    rotation: int = 0,
 ) -> EntryAnswer:
     """Return the entry answer for a caller near `data_centre`.
 
-    `turn` counts callers, so that they share the model's first nodes out.
+    `rotation` counts callers, so that they share the model's first nodes out.
     """
     near: list[Member] = []
     far: list[Member] = []
     for member in members:
         (near if member.data_centre == data_centre else far).append(member)
-    ranked = [*_turned(_ranked(near, model), turn), *_ranked(far, model)]
-    return EntryAnswer(tuple(ranked[:_MOST_ADDRESSES]), keep)
+    ranked = [*_rotated(_ranked(near, model), rotation), *_ranked(far, model)]
+    return EntryAnswer(tuple(ranked[:_MAX_ADDRESS_COUNT]), ttl)
 
 
 def audience(members: Iterable[Member], *, model: str) -> list[Member]:
@@ -58,20 +65,20 @@
     In a small fleet these are all of them.
     """
     everyone = list(members)
-    if len(everyone) <= SMALL_FLEET:
+    if len(everyone) <= SMALL_FLEET_NODE_COUNT:
         return everyone
     chosen: list[Member] = []
     for data_centre in sorted({member.data_centre for member in everyone}):
         there = [member for member in everyone if member.data_centre == data_centre]
-        first = _ranked(there, model)[:SPREAD]
+        first = _ranked(there, model)[:SPREAD_NODE_COUNT]
         chosen += [member for member in there if member.http in first]
     return chosen
 
 
-def _turned(addresses: list[str], turn: int) -> list[str]:
-    first = addresses[:SPREAD]
-    shift = turn % len(first) if first else 0
-    return [*first[shift:], *first[:shift], *addresses[SPREAD:]]
+def _rotated(addresses: list[str], rotation: int) -> list[str]:
+    first = addresses[:SPREAD_NODE_COUNT]
+    shift = rotation % len(first) if first else 0
+    return [*first[shift:], *first[:shift], *addresses[SPREAD_NODE_COUNT:]]
 
 
 def _ranked(members: list[Member], model: str) -> list[str]:
--- a/packages/core/src/fielddrift_core/errors.py
+++ b/packages/core/src/fielddrift_core/errors.py
@@ -1,6 +1,6 @@
 """Name every way a request can end without its answer.
 
-The list of kinds is closed: `ANSWERS` maps each kind to what a caller and an
+The list of kinds is closed: `ERROR_RESPONSES` maps each kind to what a caller and an
 operator see, and nothing else in the project invents an error kind.
 """
 
@@ -10,10 +10,10 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-__all__ = ["ANSWERS", "Answer", "Kind", "Ran", "Refusal"]
+__all__ = ["ERROR_RESPONSES", "ErrorResponse", "ErrorKind", "Ran", "Refusal"]
 
 
-class Kind(StrEnum):
+class ErrorKind(StrEnum):
     """One error kind, spelled as in the `type` member of a problem document."""
 
     BAD_REQUEST = "bad-request"
@@ -46,7 +46,7 @@
     YES = "yes"
 
 
-class Answer(NamedTuple):
+class ErrorResponse(NamedTuple):
     """What one error kind looks like from outside.
 
     `status` is the HTTP status, `exit_code` the exit code of the operators'
@@ -59,27 +59,31 @@
     title: str
 
 
-ANSWERS: Mapping[Kind, Answer] = {
-    Kind.BAD_REQUEST: Answer(400, 2, False, "The request is malformed"),
-    Kind.TOO_LARGE: Answer(413, 2, False, "The request is too large"),
-    Kind.UNAUTHORIZED: Answer(401, 3, False, "The key is missing or unknown"),
-    Kind.FORBIDDEN: Answer(403, 3, False, "The key does not allow this"),
-    Kind.NOT_FOUND: Answer(404, 4, False, "There is no such thing"),
-    Kind.CONFLICT: Answer(409, 5, False, "Another change came first"),
-    Kind.KEY_REUSED: Answer(422, 2, False, "The idempotency key belongs to another request"),
-    Kind.ALREADY_RUNNING: Answer(409, 6, True, "The request with this key is running"),
-    Kind.OUTCOME_UNKNOWN: Answer(409, 6, False, "Whether the request ran is not known"),
-    Kind.NOT_KEPT: Answer(410, 6, False, "The request ran; its answer was too long to keep"),
-    Kind.DEADLINE: Answer(503, 6, True, "The deadline cannot be met"),
-    Kind.OVERLOADED: Answer(503, 6, True, "All targets are busy"),
-    Kind.OVER_SHARE: Answer(429, 6, True, "The customer is over its share"),
-    Kind.NO_TARGET: Answer(503, 6, True, "No target can take the request"),
-    Kind.HELD_BACK: Answer(503, 6, True, "The request ended the targets that ran it"),
-    Kind.TARGET_FAILED: Answer(502, 6, True, "The target failed"),
-    Kind.CUT: Answer(502, 6, True, "The answer was cut"),
-    Kind.PLATFORM_DOWN: Answer(503, 7, True, "The platform's table is out of reach"),
-    Kind.STOPPING: Answer(503, 6, True, "This node is stopping"),
-    Kind.INTERNAL: Answer(500, 1, False, "The node failed"),
+ERROR_RESPONSES: Mapping[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, 2, False, "The request is malformed"),
+    ErrorKind.TOO_LARGE: ErrorResponse(413, 2, False, "The request is too large"),
+    ErrorKind.UNAUTHORIZED: ErrorResponse(401, 3, False, "The key is missing or unknown"),
+    ErrorKind.FORBIDDEN: ErrorResponse(403, 3, False, "The key does not allow this"),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, 4, False, "There is no such thing"),
+    ErrorKind.CONFLICT: ErrorResponse(409, 5, False, "Another change came first"),
+    ErrorKind.KEY_REUSED: ErrorResponse(
+        422, 2, False, "The idempotency key belongs to another request"
+    ),
+    ErrorKind.ALREADY_RUNNING: ErrorResponse(409, 6, True, "The request with this key is running"),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(409, 6, False, "Whether the request ran is not known"),
+    ErrorKind.NOT_KEPT: ErrorResponse(
+        410, 6, False, "The request ran; its answer was too long to keep"
+    ),
+    ErrorKind.DEADLINE: ErrorResponse(503, 6, True, "The deadline cannot be met"),
+    ErrorKind.OVERLOADED: ErrorResponse(503, 6, True, "All targets are busy"),
+    ErrorKind.OVER_SHARE: ErrorResponse(429, 6, True, "The customer is over its share"),
+    ErrorKind.NO_TARGET: ErrorResponse(503, 6, True, "No target can take the request"),
+    ErrorKind.HELD_BACK: ErrorResponse(503, 6, True, "The request ended the targets that ran it"),
+    ErrorKind.TARGET_FAILED: ErrorResponse(502, 6, True, "The target failed"),
+    ErrorKind.CUT: ErrorResponse(502, 6, True, "The answer was cut"),
+    ErrorKind.PLATFORM_DOWN: ErrorResponse(503, 7, True, "The platform's table is out of reach"),
+    ErrorKind.STOPPING: ErrorResponse(503, 6, True, "This node is stopping"),
+    ErrorKind.INTERNAL: ErrorResponse(500, 1, False, "The node failed"),
 }
 
 
@@ -90,7 +94,7 @@
     `reason` is the short word that the refusal's counter carries.
     """
 
-    kind: Kind
+    kind: ErrorKind
     detail: str
     ran: Ran = Ran.NO
     retry_after: float | None = None
@@ -103,7 +107,7 @@
 
     def problem(self, *, request_id: str) -> dict[str, object]:
         """Return the members of the problem document (RFC 9457)."""
-        answer = ANSWERS[self.kind]
+        answer = ERROR_RESPONSES[self.kind]
         members: dict[str, object] = {
             "type": f"urn:fielddrift:{self.kind.value}",
             "title": answer.title,
--- a/packages/core/src/fielddrift_core/grammar.py
+++ b/packages/core/src/fielddrift_core/grammar.py
@@ -30,15 +30,15 @@
     SetWork,
     SwapVersion,
 )
-from .errors import Kind, Refusal
-from .model import HoldRule, StoreHost, Target, TargetRole, Weights
+from .errors import ErrorKind, Refusal
+from .model import CostWeights, HoldRule, StoreHost, Target, TargetRole
 
-__all__ = ["Condition", "Fresh", "Lift", "Query", "key_digest", "parse"]
+__all__ = ["Condition", "GeneratedSecrets", "Lift", "Query", "key_digest", "parse"]
 
 _LONGEST_STATEMENT = 4096
 
 
-class Fresh(NamedTuple):
+class GeneratedSecrets(NamedTuple):
     """Secrets drawn for one statement; unused unless it makes a key."""
 
     key: str
@@ -71,18 +71,18 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def parse(statement: str, *, fresh: Fresh) -> Command | Lift | Query:
+def parse(statement: str, *, fresh: GeneratedSecrets) -> Command | Lift | Query:
     """Return what `statement` asks for.
 
     Raise `Rejected` naming the place and what was expected there.
     """
     if len(statement) > _LONGEST_STATEMENT:
         detail = f"statement: {len(statement)} characters, expected at most {_LONGEST_STATEMENT}"
-        raise Rejected(Refusal(Kind.TOO_LARGE, detail))
+        raise Rejected(Refusal(ErrorKind.TOO_LARGE, detail))
     try:
         tree = _PARSER.parse(statement.strip().rstrip(";"))
     except UnexpectedInput as error:
-        raise Rejected(Refusal(Kind.BAD_REQUEST, _explain(statement, error))) from None
+        raise Rejected(Refusal(ErrorKind.BAD_REQUEST, _explain(statement, error))) from None
     return _Builder(fresh=fresh).transform(tree)
 
 
@@ -100,7 +100,7 @@
 class _Builder(Transformer[Any, Any]):
     """Turn a parse tree into a command or a query."""
 
-    def __init__(self, *, fresh: Fresh) -> None:
+    def __init__(self, *, fresh: GeneratedSecrets) -> None:
         super().__init__()
         self._fresh = fresh
 
@@ -121,8 +121,8 @@
     def share(self, number: float) -> float:
         return number
 
-    def weights(self, ttft: float, recompute: float, link: float) -> Weights:
-        return Weights(ttft, recompute, link)
+    def weights(self, ttft: float, recompute: float, link: float) -> CostWeights:
+        return CostWeights(ttft, recompute, link)
 
     def chance(self, number: float) -> tuple[str, float]:
         return ("chance", number)
@@ -153,7 +153,12 @@
     def drop_customer(self, name: str) -> Command:
         return DropCustomer(name)
 
-    def create_model(self, name: str, version: str, weights: Weights = Weights()) -> Command:  # noqa: B008
+    def create_model(
+        self,
+        name: str,
+        version: str,
+        weights: CostWeights = CostWeights(),  # noqa: B008
+    ) -> Command:
         return CreateModel(name, version, weights)
 
     def prepare_version(self, name: str, version: str) -> Command:
--- a/packages/core/src/fielddrift_core/interfaces.py
+++ b/packages/core/src/fielddrift_core/interfaces.py
@@ -1,7 +1,7 @@
 """Describe the outside systems, as the node meets them.
 
 Adapters live in the node; fakes for benches and tests satisfy the same
-protocols.  All calls block and raise `OutsideError`; `sure` says whether the
+protocols.  All calls block and raise `ExternalSystemError`; `no_effect` says whether the
 call surely had no effect.
 """
 
@@ -14,7 +14,7 @@
     "HostEntry",
     "HostList",
     "ObjectStore",
-    "OutsideError",
+    "ExternalSystemError",
     "Row",
     "Table",
     "Transaction",
@@ -23,18 +23,18 @@
 ]
 
 
-class OutsideError(Exception):
-    """An outside system failed; `sure` when the call surely had no effect.
+class ExternalSystemError(Exception):
+    """An outside system failed; `no_effect` when the call surely had no effect.
 
     `refused` says that nobody listened, `broken` that the other side closed the connection
     before its answer was whole.
     """
 
     def __init__(
-        self, detail: str, *, sure: bool = False, refused: bool = False, broken: bool = False
+        self, detail: str, *, no_effect: bool = False, refused: bool = False, broken: bool = False
     ) -> None:
         super().__init__(detail)
-        self.sure = sure
+        self.no_effect = no_effect
         self.refused = refused
         self.broken = broken
 
@@ -84,7 +84,7 @@
         """Return up to `limit` rows whose key starts with `prefix` and follows `after`."""
 
     def commit(self, transaction: Transaction) -> TransactionResult:
-        """Commit, or abort; an `OutsideError` that is not sure may hide either."""
+        """Commit, or abort; an `ExternalSystemError` that is not sure may hide either."""
 
 
 class ObjectStore(Protocol):
--- a/packages/core/src/fielddrift_core/model.py
+++ b/packages/core/src/fielddrift_core/model.py
@@ -19,7 +19,7 @@
     "StoreHost",
     "Target",
     "TargetRole",
-    "Weights",
+    "CostWeights",
 ]
 
 
@@ -33,7 +33,7 @@
 ENGINE_WORK = ("prefill", "decode", "both")
 
 
-class Weights(NamedTuple):
+class CostWeights(NamedTuple):
     """What a deployment cares for, as factors of the routing cost.
 
     `ttft` weighs seconds to the first token, `recompute` a wholly recomputed
@@ -69,7 +69,7 @@
     model: str
     version: str
     prepared: tuple[str, ...] = ()
-    weights: Weights = Weights()
+    weights: CostWeights = CostWeights()
     previous: str = ""
     adapters: tuple[str, ...] = ()
 
--- a/packages/core/src/fielddrift_core/names.py
+++ b/packages/core/src/fielddrift_core/names.py
@@ -13,13 +13,21 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-__all__ = ["BLOCK_BYTES", "Manifest", "Part", "PrefixName", "chain", "prefix_name", "rank"]
+__all__ = [
+    "BLOCK_BYTES",
+    "Manifest",
+    "ManifestPart",
+    "PrefixName",
+    "chained_digests",
+    "prefix_name",
+    "rank",
+]
 
 BLOCK_BYTES = 1024
 """Bytes of prompt text in one block."""
 
 _DIGEST_BYTES = 16
-_REMEMBERED_SCORES = 8192
+_SCORE_CACHE_SIZE = 8192
 """Scores that are remembered: the same nodes are ranked some times a second."""
 
 
@@ -44,7 +52,7 @@
         return f"{self.folder}/{self.blocks}-{self.digest}"
 
 
-class Part(NamedTuple):
+class ManifestPart(NamedTuple):
     """A stored piece of a prefix: its id, length in bytes and digest."""
 
     id: str
@@ -63,10 +71,10 @@
     blocks: int
     digest: str
     size: int
-    parts: tuple[Part, ...]
+    parts: tuple[ManifestPart, ...]
 
 
-def chain(text: bytes, *, salt: str) -> list[str]:
+def chained_digests(text: bytes, *, salt: str) -> list[str]:
     """Return a digest for each whole block of `text`, each over all before it.
 
     A last block that is not full has no digest: it is always recomputed.
@@ -110,7 +118,7 @@
     return [name for _, name in scored]
 
 
-@lru_cache(maxsize=_REMEMBERED_SCORES)
+@lru_cache(maxsize=_SCORE_CACHE_SIZE)
 def _score(key: str, name: str, weight: float) -> float:
     raw = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     unit = (int.from_bytes(raw, "big") + 1) / (2**64 + 1)
--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -215,7 +215,7 @@
     best: _Fetch | None = None
     for store, wait in holders:
         moving = move_seconds(part.tokens, store, traits=traits, data_centre=data_centre)
-        needed = moving * _FETCH_MARGIN + store.first_byte + wait
+        needed = moving * _FETCH_MARGIN + store.first_byte_delay + wait
         if best is None or needed < best.seconds:
             best = _Fetch(store, needed, moving * wait / _MEAN_MOVE_SECONDS)
     return best
--- a/packages/core/src/fielddrift_core/routing.py
+++ b/packages/core/src/fielddrift_core/routing.py
@@ -14,7 +14,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from .model import Target, Weights
+from .model import CostWeights, Target
 
 __all__ = [
     "POLICIES",
@@ -98,7 +98,7 @@
 
     tokens: int
     blocks: int
-    weights: Weights
+    weights: CostWeights
     kept: Kept = Kept()
     patience: float = 30.0
 
--- a/packages/core/src/fielddrift_core/stream.py
+++ b/packages/core/src/fielddrift_core/stream.py
@@ -9,7 +9,7 @@
 
 import re
 
-__all__ = ["EventCutter", "EventSequencer", "StreamError", "first_id"]
+__all__ = ["EventFramer", "EventSequencer", "StreamError", "first_event_id"]
 
 _NUMBER = re.compile(rb"^id: ?(\d+)$", re.MULTILINE)
 _NUMBER_OR_BREAK = re.compile(rb"^id: ?(\d+)$|\n\n", re.MULTILINE)
@@ -129,13 +129,13 @@
 _ID_LINE = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
 
-def first_id(events: bytes) -> str:
+def first_event_id(events: bytes) -> str:
     """Return the id of the first of `events` that has one, empty where none has."""
     found = _ID_LINE.search(events)
     return "" if found is None else found.group(1).decode("latin-1")
 
 
-class EventCutter:
+class EventFramer:
     """Cut the bytes of one run into whole events, each handed on once.
 
     Ids rise but need not follow on each other.  Events up to the id `after`,
@@ -172,7 +172,7 @@
         return self._odd
 
     @property
-    def marked(self) -> bool:
+    def resumable(self) -> bool:
         """Return whether another run can go on behind what was handed on: each event had an id."""
         return self._marked
 
--- a/packages/node/src/fielddrift_node/callers.py
+++ b/packages/node/src/fielddrift_node/callers.py
@@ -9,8 +9,8 @@
 import structlog
 from fielddrift_core.claims import ClaimState
 from fielddrift_core.entry import EntryAnswer
-from fielddrift_core.errors import ANSWERS, Kind, Ran, Refusal
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.errors import ERROR_RESPONSES, ErrorKind, Ran, Refusal
+from fielddrift_core.interfaces import ExternalSystemError
 from result import Result
 from werkzeug.exceptions import HTTPException, MethodNotAllowed, NotFound
 from werkzeug.routing import Map, Rule
@@ -29,7 +29,7 @@
 
 SERVICE_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
 _LONGEST_STATEMENT = 65_536
-_WITH_TICKET = (Kind.OVERLOADED, Kind.OVER_SHARE, Kind.DEADLINE)
+_WITH_TICKET = (ErrorKind.OVERLOADED, ErrorKind.OVER_SHARE, ErrorKind.DEADLINE)
 
 
 class CallersApp:
@@ -77,7 +77,7 @@
             response = self._answer(request, request_id, environ)
         except Exception:
             get().exception("request failed", path=request.path)
-            refusal = Refusal(Kind.INTERNAL, "the node failed; see its log", Ran.UNKNOWN)
+            refusal = Refusal(ErrorKind.INTERNAL, "the node failed; see its log", Ran.UNKNOWN)
             response = self._refuse(refusal, request_id)
         response.headers["Fielddrift-Request"] = request_id
         return response(environ, start_response)
@@ -86,13 +86,13 @@
         try:
             endpoint, values = self._map.bind_to_environ(environ).match()
         except NotFound:
-            return self._refuse(Refusal(Kind.NOT_FOUND, f"path: {request.path!r}"), request_id)
+            return self._refuse(Refusal(ErrorKind.NOT_FOUND, f"path: {request.path!r}"), request_id)
         except MethodNotAllowed as error:
             expected = ", ".join(sorted(error.valid_methods or ()))
             detail = f"method: {request.method}, expected one of {expected}"
-            return self._refuse(Refusal(Kind.BAD_REQUEST, detail), request_id)
+            return self._refuse(Refusal(ErrorKind.BAD_REQUEST, detail), request_id)
         except HTTPException as error:
-            return self._refuse(Refusal(Kind.BAD_REQUEST, str(error)), request_id)
+            return self._refuse(Refusal(ErrorKind.BAD_REQUEST, str(error)), request_id)
         response: Response = endpoint(request, request_id, **values)
         return response
 
@@ -100,8 +100,8 @@
 
     def _get_entry(self, request: Request, request_id: str) -> Response:
         answer = self._entry(request.args.get("model", ""))
-        body = {"addresses": list(answer.addresses), "keep_seconds": answer.keep}
-        return _json(body, **{"Cache-Control": f"max-age={int(answer.keep)}"})
+        body = {"addresses": list(answer.addresses), "keep_seconds": answer.ttl}
+        return _json(body, **{"Cache-Control": f"max-age={int(answer.ttl)}"})
 
     def _get_request(self, request: Request, request_id: str, wanted: str) -> Response:
         exchange = self._exchange(request, request_id, {})
@@ -117,9 +117,11 @@
     def _claimed_state(self, customer: str, key: str, request_id: str) -> Response:
         try:
             row = self._runtime.claims.find(customer, key)
-        except OutsideError as error:
+        except ExternalSystemError as error:
             detail = f"the state of {key!r} cannot be read: {error}"
-            return self._refuse(Refusal(Kind.PLATFORM_DOWN, detail, Ran.UNKNOWN, 2.0), request_id)
+            return self._refuse(
+                Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.UNKNOWN, 2.0), request_id
+            )
         if row is None:
             return _json({"id": key, "state": "unknown"})
         if row.state is ClaimState.RAN:
@@ -146,7 +148,7 @@
         places = self._runtime.places
         if not places.take():
             detail = "this node has as many requests as it can hold"
-            refusal = Refusal(Kind.OVERLOADED, detail, Ran.NO, 0.5)
+            refusal = Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, 0.5)
             return self._refuse(truthful(refusal, dict(request.headers)), request_id)
         try:
             response = self._run_filters(request, request_id, path, filters)
@@ -180,7 +182,7 @@
         self._runtime.metrics.refused(refusal)
         get().info("refused", kind=refusal.kind.value, detail=refusal.detail, ran=refusal.ran.value)
         body = json.dumps(refusal.problem(request_id=request_id))
-        status = ANSWERS[refusal.kind].status
+        status = ERROR_RESPONSES[refusal.kind].status
         response = Response(body, status, mimetype="application/problem+json")
         if refusal.retry_after is not None:
             response.headers["Retry-After"] = str(max(1, round(refusal.retry_after)))
@@ -193,7 +195,7 @@
         try:
             raw = request.get_data()
         except HTTPException as error:
-            return self._refuse(Refusal(Kind.TOO_LARGE, f"body: {error}"), request_id)
+            return self._refuse(Refusal(ErrorKind.TOO_LARGE, f"body: {error}"), request_id)
         outcome = self._operators.run(request.headers.get("Authorization", ""), raw)
         if isinstance(outcome, Refusal):
             return self._refuse(outcome, request_id)
--- a/packages/node/src/fielddrift_node/claims.py
+++ b/packages/node/src/fielddrift_node/claims.py
@@ -18,24 +18,24 @@
 
 import msgspec
 from fielddrift_core.claims import (
-    Ask,
-    ClaimBook,
-    Claiming,
+    AskClaimant,
+    AttemptRegistry,
+    AttemptStatus,
+    ClaimEvent,
+    ClaimOutcome,
     ClaimRow,
     ClaimState,
-    Event,
-    Insert,
-    Outcome,
-    Seen,
-    Step,
-    TakeOver,
-    Word,
+    ClaimStep,
+    ClaimSteps,
+    InsertClaim,
+    StoredClaim,
+    TakeOverClaim,
     claim_key,
-    claiming,
-    table_down,
+    claim_steps,
+    table_unavailable,
 )
 from fielddrift_core.errors import Refusal
-from fielddrift_core.interfaces import OutsideError, Row, Table, Transaction, Write
+from fielddrift_core.interfaces import ExternalSystemError, Row, Table, Transaction, Write
 from fielddrift_core.retries import Breaker
 
 from . import clock
@@ -82,7 +82,7 @@
         table: Table,
         claimant: str,
         address: str,
-        ask: Callable[[ClaimRow], Word | None],
+        ask: Callable[[ClaimRow], AttemptStatus | None],
         metrics: Metrics,
         timeout: float,
         group_seconds: float = GROUP_SECONDS,
@@ -94,7 +94,7 @@
         self._metrics = metrics
         self._timeout = timeout
         self._group_seconds = group_seconds
-        self._book = ClaimBook()
+        self._book = AttemptRegistry()
         self._lock = threading.Lock()
         self._breaker = Breaker(longest=_LONGEST_TABLE_REST)
         self._inbox: queue.SimpleQueue[_Pending | None] = queue.SimpleQueue()
@@ -122,9 +122,9 @@
         abandoned.
         """
         if not self._breaker.allows(clock.now()):
-            return table_down("the table failed a moment ago")
+            return table_unavailable("the table failed a moment ago")
         row = ClaimRow(customer, key, self._claimant, self._address, uuid.uuid4().hex, digest)
-        outcome = self._drive(claiming(row, self._book))
+        outcome = self._drive(claim_steps(row, self._book))
         if outcome.refusal is not None:
             return outcome.refusal
         return outcome.kept or Claim(row, outcome.version)
@@ -146,7 +146,7 @@
         """Free the key of a request that surely did not run."""
         # The row follows in the background; whoever asks meanwhile must hear of it.
         with self._lock:
-            self._book.proved_not_run(claim.row.attempt)
+            self._book.mark_not_run(claim.row.attempt)
         self._finish(claim, claim.row._replace(state=ClaimState.NOT_RUN))
 
     def unknown(self, claim: Claim) -> None:
@@ -155,58 +155,58 @@
             self._book.close(claim.row.attempt)
 
     def find(self, customer: str, key: str) -> ClaimRow | None:
-        """Return the row of a claim, None when there is none; raise `OutsideError`."""
+        """Return the row of a claim, None when there is none; raise `ExternalSystemError`."""
         row = self._table.read([claim_key(customer, key)])[0]
         return _decode(row) if row.version else None
 
     def word_of(self, row: ClaimRow) -> str:
         """Return the state of a claimed row as far as its claimant tells it."""
         word = self._word_of(row)
-        if word is Word.NEVER:
+        if word is AttemptStatus.NEVER:
             return "not-run"
-        return "running" if word is Word.RUNNING else "unknown"
+        return "running" if word is AttemptStatus.RUNNING else "unknown"
 
-    def word(self, claimant: str, attempt: str) -> Word:
+    def word(self, claimant: str, attempt: str) -> AttemptStatus:
         """Answer a peer that asks about one of our attempts."""
         if claimant != self._claimant:
-            return Word.UNKNOWN
+            return AttemptStatus.UNKNOWN
         with self._lock:
             return self._book.word(attempt)
 
     # --- claiming ----------------------------------------------------------
 
-    def _drive(self, steps: Claiming) -> Outcome:
-        event: Event = None
+    def _drive(self, steps: ClaimSteps) -> ClaimOutcome:
+        event: ClaimEvent = None
         try:
             while True:
                 with self._lock:
                     step = steps.send(event)
                 event = self._do(step)
         except StopIteration as ended:
-            outcome: Outcome = ended.value
+            outcome: ClaimOutcome = ended.value
             return outcome
 
-    def _do(self, step: Step) -> Event:
+    def _do(self, step: ClaimStep) -> ClaimEvent:
         match step:
-            case Insert(row):
+            case InsertClaim(row):
                 write = Write(claim_key(row.customer, row.key), _encode(row), if_absent=True)
                 return self._seen(row, lambda: self._submit(write))
-            case TakeOver(row, version):
+            case TakeOverClaim(row, version):
                 return self._seen(row, lambda: self._write_over(row, version))
-            case Ask(row):
+            case AskClaimant(row):
                 return self._word_of(row)
 
-    def _seen(self, row: ClaimRow, write: Callable[[], Row]) -> Seen | None:
+    def _seen(self, row: ClaimRow, write: Callable[[], Row]) -> StoredClaim | None:
         """Return what is in the table after `write`, None when that is not known."""
         try:
             kept = write()
         except FutureTimeout:
             with self._lock:
                 self._breaker.failed(clock.now())
-        except OutsideError as error:
+        except ExternalSystemError as error:
             get().info("claim not confirmed", key=row.key, error=str(error))
         else:
-            return Seen(_decode(kept), kept.version)
+            return StoredClaim(_decode(kept), kept.version)
         self._note_unclean(row._replace(state=ClaimState.NOT_RUN))
         return None
 
@@ -217,7 +217,7 @@
             self._metrics.add("claims.taken_over")
         return result.rows[0]
 
-    def _word_of(self, row: ClaimRow) -> Word | None:
+    def _word_of(self, row: ClaimRow) -> AttemptStatus | None:
         if row.claimant == self._claimant:
             return self.word(row.claimant, row.attempt)
         return self._ask(row)
@@ -265,7 +265,7 @@
     def _write(self, group: list[_Pending]) -> bool:
         try:
             result = self._table.commit(Transaction(tuple(p.write for p in group)))
-        except OutsideError as error:
+        except ExternalSystemError as error:
             return self._read_back(group, error)
         self._table_worked(group)
         if result.ok:
@@ -273,11 +273,11 @@
                 self._done(pending, row)
         return result.ok
 
-    def _read_back(self, group: list[_Pending], error: OutsideError) -> bool:
+    def _read_back(self, group: list[_Pending], error: ExternalSystemError) -> bool:
         """Learn what became of a commit whose answer was lost."""
         try:
             rows = self._table.read([p.write.key for p in group])
-        except OutsideError:
+        except ExternalSystemError:
             with self._lock:
                 self._breaker.failed(clock.now())
             rows = [Row(p.write.key, "", 0) for p in group]
@@ -321,7 +321,7 @@
                 continue
             try:
                 self._clean_row(unclean.row)
-            except OutsideError as error:
+            except ExternalSystemError as error:
                 get().warning("claim not settled yet", key=unclean.row.key, error=str(error))
                 return
             self._unclean.pop(attempt, None)
--- a/packages/node/src/fielddrift_node/cluster.py
+++ b/packages/node/src/fielddrift_node/cluster.py
@@ -13,10 +13,10 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Protocol
 
-from fielddrift_core.claims import Word
+from fielddrift_core.claims import AttemptStatus
 from fielddrift_core.crashes import CrashUpdate
-from fielddrift_core.entry import SPREAD, EntryAnswer, audience, order
-from fielddrift_core.interfaces import HostEntry, OutsideError
+from fielddrift_core.entry import SPREAD_NODE_COUNT, EntryAnswer, audience, order
+from fielddrift_core.interfaces import ExternalSystemError, HostEntry
 from fielddrift_core.membership import Member, Membership, Status, TargetWord
 
 from . import clock
@@ -55,7 +55,7 @@
         rng: random.Random,
         config: ConfigSync,
         pool: ThreadPoolExecutor,
-        claim_word: Callable[[str, str], Word],
+        claim_word: Callable[[str, str], AttemptStatus],
         request_state: Callable[[str, str], str],
         crashes: CrashTalk,
     ) -> None:
@@ -91,13 +91,13 @@
     def entry(self, model: str, keep: float) -> EntryAnswer:
         """Return the entry answer for a caller who came to this node."""
         turn = next(self._turns)
-        key = ("entry", model, turn % SPREAD)
+        key = ("entry", model, turn % SPREAD_NODE_COUNT)
         with self._lock:
             found = self._found_for(key)
             if found is None:
                 usable = self._membership.usable()
                 data_centre = self._membership.me.data_centre
-                found = order(usable, data_centre=data_centre, model=model, keep=keep, turn=turn)
+                found = order(usable, data_centre=data_centre, model=model, ttl=keep, rotation=turn)
                 self._found[1][key] = found
         assert isinstance(found, EntryAnswer)
         return found
@@ -164,7 +164,7 @@
             members = [member_to(m) for m in self._membership.members]
         return pb.SnapshotReply(configuration=self._config.snapshot(), members=members)
 
-    def claim(self, claimant: str, attempt: str) -> Word:
+    def claim(self, claimant: str, attempt: str) -> AttemptStatus:
         """Return our word on one of our attempts."""
         return self._claim_word(claimant, attempt)
 
@@ -207,7 +207,7 @@
         for address in addresses:
             try:
                 reply = self._calls.snapshot(address)
-            except OutsideError:
+            except ExternalSystemError:
                 continue
             self._config.take_snapshot(reply.configuration)
             self._take_members(reply.members)
@@ -246,7 +246,7 @@
             if self._config.behind or not told_by:
                 try:
                     self._config.poll()
-                except OutsideError:
+                except ExternalSystemError:
                     return
 
     def _fetch_from(self, peer: str) -> None:
@@ -255,20 +255,20 @@
             self._config.take_entries(self._calls.entries(peer, first, last))
             if self._config.behind:
                 self._config.take_snapshot(self._calls.snapshot(peer).configuration)
-        except (OutsideError, ValueError):
+        except (ExternalSystemError, ValueError):
             return
 
     def _helped(self, helper: Member, member: Member) -> bool:
         try:
             return self._calls.probe(helper.name, member.name)
-        except OutsideError:
+        except ExternalSystemError:
             return False
 
     def _ping(self, name: str) -> bool:
         try:
             reply = self._calls.ping(name, self._gossip())
             self._hear(reply)
-        except (OutsideError, ValueError):
+        except (ExternalSystemError, ValueError):
             return False
         return True
 
--- a/packages/node/src/fielddrift_node/configuration.py
+++ b/packages/node/src/fielddrift_node/configuration.py
@@ -13,7 +13,7 @@
 from fielddrift_core.commands import Command, Rejected, apply
 from fielddrift_core.configlog import (
     HEAD_KEY,
-    SNAPSHOT_EVERY,
+    SNAPSHOT_INTERVAL_REVISIONS,
     ConfigView,
     LogEntry,
     change_key,
@@ -23,10 +23,10 @@
     encode_snapshot,
     entry_key,
 )
-from fielddrift_core.errors import Kind, Ran, Refusal
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.interfaces import (
+    ExternalSystemError,
     ObjectStore,
-    OutsideError,
     Row,
     Table,
     Transaction,
@@ -126,10 +126,10 @@
     # --- catching up -------------------------------------------------------
 
     def poll(self) -> None:
-        """Read the head and what is missing from the table; raise `OutsideError`."""
+        """Read the head and what is missing from the table; raise `ExternalSystemError`."""
         head = _head(self._table.read([HEAD_KEY])[0])
         with self._lock:
-            self._view.hear(head)
+            self._view.note_accepted(head)
         if self.revision == 0 and head > 1:
             self._take_stored_snapshot()
         self._fetch()
@@ -142,7 +142,7 @@
     def hear(self, revision: int) -> bool:
         """Note that `revision` was accepted; return whether changes are missing here."""
         with self._lock:
-            self._view.hear(revision)
+            self._view.note_accepted(revision)
             return self._view.behind
 
     def take_entries(self, entries: list[str]) -> None:
@@ -153,7 +153,7 @@
         """Take a whole configuration from a peer; False when it is not later."""
         configuration = decode_snapshot(raw)
         with self._lock:
-            taken = self._view.take_snapshot(configuration)
+            taken = self._view.apply_snapshot(configuration)
         if taken:
             self._changed(1)
         return taken
@@ -177,7 +177,7 @@
             rows = self._table.read([entry_key(revision) for revision in missing])
             known = [row.value for row in rows if row.version]
             if not known:
-                raise OutsideError(f"configuration entry {missing[0]}: not in the table")
+                raise ExternalSystemError(f"configuration entry {missing[0]}: not in the table")
             self._put([(raw, decode_entry(raw)) for raw in known])
 
     def _put(self, entries: list[tuple[str, LogEntry]]) -> None:
@@ -212,16 +212,16 @@
                 outcome = self._try_append(command, change_id, operator, base)
                 if outcome is not None:
                     return outcome
-        except OutsideError as error:
+        except ExternalSystemError as error:
             return self._out_of_reach(error)
-        return Refusal(Kind.CONFLICT, "other changes kept coming first", Ran.NO, 1.0)
+        return Refusal(ErrorKind.CONFLICT, "other changes kept coming first", Ran.NO, 1.0)
 
     def _try_append(
         self, command: Command, change_id: str, operator: str, base: int
     ) -> Accepted | Refusal | None:
         head, before = self._table.read([HEAD_KEY, change_key(change_id)])
         with self._lock:
-            self._view.hear(max(_head(head), int(before.value or 0)))
+            self._view.note_accepted(max(_head(head), int(before.value or 0)))
         if before.version:
             self._fetch()
             return Accepted(int(before.value), repeated=True)
@@ -244,7 +244,7 @@
                     f"{' '.join(subject(command))}: change {entry.change_id} by "
                     f"{entry.operator} came first, at revision {entry.revision}"
                 )
-                return Refusal(Kind.CONFLICT, detail)
+                return Refusal(ErrorKind.CONFLICT, detail)
         try:
             apply(self.current, command)
         except Rejected as rejected:
@@ -261,25 +261,25 @@
         )
         try:
             done = self._table.commit(Transaction(writes)).ok
-        except OutsideError:
+        except ExternalSystemError:
             # The answer may have been lost after the change took effect.
             done = bool(self._table.read([change_key(entry.change_id)])[0].version)
         if not done:
             return None
         self._put([(raw, entry)])
-        if entry.revision % SNAPSHOT_EVERY == 0:
+        if entry.revision % SNAPSHOT_INTERVAL_REVISIONS == 0:
             self._store_snapshot()
         return Accepted(entry.revision)
 
     def _store_snapshot(self) -> None:
         try:
             self._objects.put(SNAPSHOT_OBJECT, self.snapshot())
-        except OutsideError as error:
+        except ExternalSystemError as error:
             get().warning("configuration snapshot not stored", error=str(error))
 
-    def _out_of_reach(self, error: OutsideError) -> Refusal:
+    def _out_of_reach(self, error: ExternalSystemError) -> Refusal:
         detail = f"whether the change was taken is not known: {error}; ask again with its id"
-        return Refusal(Kind.PLATFORM_DOWN, detail, Ran.UNKNOWN, retry_after=2.0)
+        return Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.UNKNOWN, retry_after=2.0)
 
 
 def _head(row: Row) -> int:
--- a/packages/node/src/fielddrift_node/crash_desk.py
+++ b/packages/node/src/fielddrift_node/crash_desk.py
@@ -16,7 +16,7 @@
 import msgspec
 from fielddrift_core.crashes import Crash, CrashHistory, CrashUpdate, HeldRequest
 from fielddrift_core.errors import Ran, Refusal
-from fielddrift_core.interfaces import OutsideError, Row, Table, Transaction, Write
+from fielddrift_core.interfaces import ExternalSystemError, Row, Table, Transaction, Write
 from fielddrift_core.lost_runs import LostRun, LostRuns
 from fielddrift_core.model import Target
 from fielddrift_core.target_registry import life_name, target_id
@@ -231,7 +231,7 @@
     # --- rounds ---------------------------------------------------------------
 
     def turn(self) -> None:
-        """Forget what is over, and save what changed; raise `OutsideError`."""
+        """Forget what is over, and save what changed; raise `ExternalSystemError`."""
         now = self._clock()
         with self._lock:
             self._lost.expire(now)
@@ -254,7 +254,7 @@
         value = msgspec.json.encode(saved).decode() if saved else None
         try:
             self._table.commit(Transaction((Write(CRASH_PREFIX + fingerprint, value),)))
-        except OutsideError:
+        except ExternalSystemError:
             with self._lock:
                 self._unsaved.add(fingerprint)
             raise
@@ -264,7 +264,7 @@
         get().info("crashes saved", fingerprint=fingerprint, crashes=len(saved))
 
     def restore(self) -> None:
-        """Read at the start what nodes before this one have saved; raise `OutsideError`."""
+        """Read at the start what nodes before this one have saved; raise `ExternalSystemError`."""
         rows = self._table.scan(CRASH_PREFIX, CRASH_PREFIX, _MOST_ROWS)
         for row in rows:
             self._take_row(row)
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -13,7 +13,7 @@
 
 import msgspec
 from fielddrift_core.admission import Admission
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.membership import Member, TargetWord
 from fielddrift_core.model import Target
 from fielddrift_core.routing import POLICIES
@@ -255,7 +255,7 @@
         while True:
             try:
                 work()
-            except OutsideError as error:
+            except ExternalSystemError as error:
                 get().debug("round failed", round=name, error=str(error))
             except Exception:
                 get().exception("round failed", round=name)
@@ -267,14 +267,14 @@
         try:
             hosts = self._hosts.hosts()
             addresses += [h.labels["peer"] for h in hosts if "peer" in h.labels]
-        except OutsideError as error:
+        except ExternalSystemError as error:
             get().warning("host list out of reach", error=str(error))
         mine = self._settings["node"]["peer"]
         self._cluster.join(a for a in dict.fromkeys(addresses) if a != mine)
         try:
             self._config.poll()
             self._crashes.restore()
-        except OutsideError as error:
+        except ExternalSystemError as error:
             get().warning("table out of reach", error=str(error))
 
     # --- rounds ------------------------------------------------------------
@@ -308,7 +308,7 @@
         try:
             after = board.event_sequence(target.name)
             report = self._runtime.targets.load(target, after=after)
-        except OutsideError:
+        except ExternalSystemError:
             board.failed(target.name)
             return
         board.worked(target.name)
@@ -343,7 +343,7 @@
     def _give_back_leases(self) -> None:
         try:
             self._leases.give_back()
-        except OutsideError as error:
+        except ExternalSystemError as error:
             get().info("leases not given back", error=str(error))
 
     # --- what is heard -----------------------------------------------------
@@ -384,5 +384,5 @@
             return self._requests.state(wanted, customer) if boot == self._boot else "unknown"
         try:
             return self._peers.request(owner, customer, wanted)
-        except OutsideError:
+        except ExternalSystemError:
             return "unknown"
--- a/packages/node/src/fielddrift_node/duties.py
+++ b/packages/node/src/fielddrift_node/duties.py
@@ -11,7 +11,7 @@
 from concurrent.futures import Future, ThreadPoolExecutor
 
 from fielddrift_core.holding import WEEK_SECONDS, Held, plan
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import Configuration, Deployment, StoreHost, Target, TargetRole
 
 from . import clock
@@ -68,7 +68,7 @@
     def _try_one(self, engine: Target, order: Order) -> None:
         try:
             self._tend_one(engine, order)
-        except OutsideError as error:
+        except ExternalSystemError as error:
             get().info("order not confirmed", target=engine.name, error=str(error))
 
     def _wanted(self, deployment: Deployment) -> tuple[str, ...]:
@@ -106,7 +106,7 @@
     def tend(
         self, store: StoreHost, configuration: Configuration, week_second: float, now: float
     ) -> None:
-        """Do one round on a store host; raise `OutsideError`."""
+        """Do one round on a store host; raise `ExternalSystemError`."""
         client = self._stores.client(store)
         held = client.held()
         wanted = plan(
@@ -199,5 +199,5 @@
         week_second = (self._wall_clock() - self._week_start) % WEEK_SECONDS
         try:
             self._store_tender.tend(store, configuration, week_second, clock.now())
-        except OutsideError as error:
+        except ExternalSystemError as error:
             get().info("store host not tended", store=store.name, error=str(error))
--- a/packages/node/src/fielddrift_node/exchange.py
+++ b/packages/node/src/fielddrift_node/exchange.py
@@ -8,7 +8,7 @@
 
 from fielddrift_core.errors import Refusal
 from fielddrift_core.fingerprint import fingerprint
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.lost_runs import LostRun
 from fielddrift_core.model import Configuration, Customer, Deployment, Target
 from fielddrift_core.routing import Choice, Need
@@ -113,7 +113,7 @@
         self.life = self.runtime.crashes.life(target.name, self.runtime.board.epoch(target.name))
         self.sent_at = clock.now()
 
-    def broke_off(self, target: Target, error: OutsideError) -> None:
+    def broke_off(self, target: Target, error: ExternalSystemError) -> None:
         """Tell whoever watches for requests that end their targets how the last send failed."""
         crashes = self.runtime.crashes
         if error.broken and not target.draining and not self.runtime.leaving(target.name):
--- a/packages/node/src/fielddrift_node/filters/admit.py
+++ b/packages/node/src/fielddrift_node/filters/admit.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fielddrift_core.errors import Kind, Ran, Refusal
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.model import Target
 from fielddrift_core.routing import Choice, draw
 from result import Err, Ok, Result
@@ -76,4 +76,4 @@
     version = f" version {exchange.deployment.version}" if exchange.deployment.version else ""
     detail = f"{what}{version}: none of {len(exchange.targets)} targets can take it now"
     paused = exchange.runtime.board.soonest(exchange.targets)
-    return Refusal(Kind.NO_TARGET, detail, ran, max(_RETRY_AFTER, paused))
+    return Refusal(ErrorKind.NO_TARGET, detail, ran, max(_RETRY_AFTER, paused))
--- a/packages/node/src/fielddrift_node/filters/call.py
+++ b/packages/node/src/fielddrift_node/filters/call.py
@@ -5,8 +5,8 @@
 import time
 from http import HTTPStatus
 
-from fielddrift_core.errors import Kind, Ran, Refusal
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import Target
 from fielddrift_core.retries import backoff
 from result import Err, Ok, Result
@@ -84,11 +84,11 @@
     exchange.begin_send(target)
     try:
         reply = runtime.targets.call(target, _call(exchange, target))
-    except OutsideError as error:
+    except ExternalSystemError as error:
         runtime.board.failed(target.name)
         exchange.broke_off(target, error)
-        reason = "connect" if error.sure else "cut-before-head"
-        raise TryFailed(str(error), reason, sure=error.sure) from None
+        reason = "connect" if error.no_effect else "cut-before-head"
+        raise TryFailed(str(error), reason, sure=error.no_effect) from None
     finally:
         runtime.board.ended(target.name, exchange.request_id)
     runtime.heard_headers(target.name, reply.headers)
@@ -122,4 +122,4 @@
 
 
 def _failed(detail: str, sure: bool) -> Refusal:
-    return Refusal(Kind.TARGET_FAILED, detail, Ran.NO if sure else Ran.UNKNOWN, 0.5)
+    return Refusal(ErrorKind.TARGET_FAILED, detail, Ran.NO if sure else Ran.UNKNOWN, 0.5)
--- a/packages/node/src/fielddrift_node/filters/claim.py
+++ b/packages/node/src/fielddrift_node/filters/claim.py
@@ -6,7 +6,7 @@
 import hashlib
 
 from fielddrift_core.claims import ClaimRow
-from fielddrift_core.errors import Kind, Refusal
+from fielddrift_core.errors import ErrorKind, Refusal
 from result import Err, Ok, Result
 
 from ..claims import Claim
@@ -21,7 +21,7 @@
         return Ok(exchange)
     if not exchange.key:
         detail = "Idempotency-Key: missing, expected one for a request that may not be repeated"
-        return Err(Refusal(Kind.BAD_REQUEST, detail))
+        return Err(Refusal(ErrorKind.BAD_REQUEST, detail))
     held = exchange.runtime.claims.claim(
         customer=exchange.customer.name, key=exchange.key, digest=_fingerprint(exchange)
     )
--- a/packages/node/src/fielddrift_node/filters/identify.py
+++ b/packages/node/src/fielddrift_node/filters/identify.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fielddrift_core.errors import Kind, Refusal
+from fielddrift_core.errors import ErrorKind, Refusal
 from fielddrift_core.grammar import key_digest
 from result import Err, Ok, Result
 
@@ -23,11 +23,11 @@
     key = bearer(exchange.request.headers.get("Authorization", ""))
     if not key:
         detail = "Authorization: missing, expected 'Bearer ' and a customer's key"
-        return Err(Refusal(Kind.UNAUTHORIZED, detail))
+        return Err(Refusal(ErrorKind.UNAUTHORIZED, detail))
     exchange.runtime.watch.ensure_fresh()
     configuration = exchange.runtime.config.current
     name = configuration.keys.get(key_digest(key))
     if name is None:
-        return Err(Refusal(Kind.UNAUTHORIZED, "Authorization: the key is not known"))
+        return Err(Refusal(ErrorKind.UNAUTHORIZED, "Authorization: the key is not known"))
     exchange.customer = configuration.customers[name]
     return Ok(exchange)
--- a/packages/node/src/fielddrift_node/filters/locate.py
+++ b/packages/node/src/fielddrift_node/filters/locate.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fielddrift_core.errors import Refusal
-from fielddrift_core.names import chain, prefix_name
+from fielddrift_core.names import chained_digests, prefix_name
 from fielddrift_core.routing import Kept, Need
 from result import Ok, Result
 
@@ -24,7 +24,7 @@
     assert exchange.completion is not None
     runtime = exchange.runtime
     prompt = exchange.completion.prompt.encode()
-    exchange.digests = chain(prompt, salt=exchange.customer.salt)
+    exchange.digests = chained_digests(prompt, salt=exchange.customer.salt)
     if exchange.digests and exchange.configuration.stores:
         began = clock.now()
         exchange.found = _find(exchange)
--- a/packages/node/src/fielddrift_node/filters/parse.py
+++ b/packages/node/src/fielddrift_node/filters/parse.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import msgspec
-from fielddrift_core.errors import Kind, Refusal
+from fielddrift_core.errors import ErrorKind, Refusal
 from result import Err, Ok, Result
 from werkzeug.exceptions import ClientDisconnected, RequestEntityTooLarge
 from werkzeug.wrappers import Request
@@ -35,7 +35,7 @@
 
 
 class _Malformed(Exception):
-    def __init__(self, detail: str, kind: Kind = Kind.BAD_REQUEST) -> None:
+    def __init__(self, detail: str, kind: ErrorKind = ErrorKind.BAD_REQUEST) -> None:
         super().__init__(detail)
         self.refusal = Refusal(kind, detail)
 
@@ -53,7 +53,7 @@
         size = len(body.prompt.encode())
         if size > limits["prompt_bytes"]:
             detail = f"prompt: {size} bytes, expected at most {limits['prompt_bytes']}"
-            raise _Malformed(detail, Kind.TOO_LARGE)
+            raise _Malformed(detail, ErrorKind.TOO_LARGE)
         _take_headers(exchange)
         alone = exchange.repeatable or not body.stream
         _check("stream", body.stream, alone, "false for a request that may not be repeated")
@@ -88,7 +88,7 @@
         return request.get_data(cache=False)
     except RequestEntityTooLarge:
         detail = f"body: {request.content_length} bytes, expected at most {limit}"
-        raise _Malformed(detail, Kind.TOO_LARGE) from None
+        raise _Malformed(detail, ErrorKind.TOO_LARGE) from None
     except ClientDisconnected:
         raise _Malformed("body: shorter than its Content-Length") from None
 
--- a/packages/node/src/fielddrift_node/filters/pin.py
+++ b/packages/node/src/fielddrift_node/filters/pin.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from fielddrift_core.errors import Kind, Ran, Refusal
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.model import TargetRole
 from result import Err, Ok, Result
 
@@ -25,7 +25,7 @@
     model = exchange.completion.model
     deployment = exchange.configuration.deployments.get(model)
     if deployment is None:
-        return Err(Refusal(Kind.NOT_FOUND, f"model: {model!r} is not known"))
+        return Err(Refusal(ErrorKind.NOT_FOUND, f"model: {model!r} is not known"))
     exchange.deployment = deployment
     exchange.targets = exchange.runtime.config.serving(TargetRole.ENGINE, model)
     exchange.runtime.board.touch(model)
@@ -40,7 +40,7 @@
     name = exchange.call.service
     exchange.targets = exchange.runtime.config.serving(TargetRole.SERVICE, name)
     if not exchange.targets:
-        return Err(Refusal(Kind.NOT_FOUND, f"service: {name!r} is not known"))
+        return Err(Refusal(ErrorKind.NOT_FOUND, f"service: {name!r} is not known"))
     if any(exchange.call.method in target.not_repeatable for target in exchange.targets):
         exchange.repeatable = False
     return Ok(exchange)
@@ -50,6 +50,6 @@
     watch = exchange.runtime.watch
     if watch.refusing:
         detail = "this node is stopping; ask GET /v1/entry for another"
-        return Refusal(Kind.STOPPING, detail, Ran.NO, _RETRY_AFTER)
+        return Refusal(ErrorKind.STOPPING, detail, Ran.NO, _RETRY_AFTER)
     exchange.configuration = exchange.runtime.config.current
     return None
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -6,8 +6,8 @@
 from concurrent.futures import TimeoutError as FutureTimeout
 from typing import NamedTuple
 
-from fielddrift_core.errors import Kind, Ran, Refusal
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.retries import backoff
 from fielddrift_core.routing import Choice, Source
 from result import Err, Ok, Result
@@ -135,11 +135,11 @@
     except FutureTimeout:
         runtime.board.failed(name)
         raise TryFailed(f"target {name}: no first token", "cut-before-head", sure=False) from None
-    except OutsideError as error:
+    except ExternalSystemError as error:
         runtime.board.failed(name)
         exchange.broke_off(choice.target, error)
-        reason = "connect" if error.sure else "cut-before-head"
-        raise TryFailed(str(error), reason, sure=error.sure) from None
+        reason = "connect" if error.no_effect else "cut-before-head"
+        raise TryFailed(str(error), reason, sure=error.no_effect) from None
     runtime.heard_headers(name, head.headers)
     if proved_not_started(head):
         runtime.board.worked(name)
@@ -167,7 +167,7 @@
     name = choice.target.name
     try:
         head = read_head(stream.head.result())
-    except OutsideError as error:
+    except ExternalSystemError as error:
         # The breaker takes a probe for under way until it hears how it ended.
         exchange.runtime.board.failed(name)
         raise TryFailed(f"target {name}: {error}", "wrong-head", sure=False) from None
@@ -211,5 +211,5 @@
 
 
 def _refusal(exchange: Exchange, detail: str, sure: bool) -> Refusal:
-    kind = Kind.DEADLINE if exchange.left <= 0 else Kind.TARGET_FAILED
+    kind = ErrorKind.DEADLINE if exchange.left <= 0 else ErrorKind.TARGET_FAILED
     return Refusal(kind, detail, Ran.NO if sure else Ran.UNKNOWN, 0.5)
--- a/packages/node/src/fielddrift_node/http_client.py
+++ b/packages/node/src/fielddrift_node/http_client.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 import pycurl
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 
 from . import clock
 
@@ -75,7 +75,7 @@
 class Stream:
     """An answer that is read while it arrives.
 
-    Iterate over it for the body; the iteration raises `OutsideError` when the
+    Iterate over it for the body; the iteration raises `ExternalSystemError` when the
     answer breaks off, or when nothing comes for `stall` seconds.  Close it to
     cancel the call.
     """
@@ -84,7 +84,7 @@
         self.head: Future[Head] = Future()
         self.stall: float | None = None
         self._cancel = cancel
-        self._chunks: queue.SimpleQueue[bytes | OutsideError | None] = queue.SimpleQueue()
+        self._chunks: queue.SimpleQueue[bytes | ExternalSystemError | None] = queue.SimpleQueue()
 
     def __iter__(self) -> Iterator[bytes]:
         while (chunk := self._next()) is not _END:
@@ -95,16 +95,16 @@
             data = b"".join(c for c in chunks if isinstance(c, bytes))
             if data:
                 yield data
-            if isinstance(chunks[-1], OutsideError):
+            if isinstance(chunks[-1], ExternalSystemError):
                 raise chunks[-1]
             if chunks[-1] is _END:
                 return
 
-    def _next(self) -> bytes | OutsideError | None:
+    def _next(self) -> bytes | ExternalSystemError | None:
         try:
             return self._chunks.get(timeout=self.stall)
         except queue.Empty:
-            return OutsideError(f"nothing came for {self.stall} s")
+            return ExternalSystemError(f"nothing came for {self.stall} s")
 
     def read(self) -> bytes:
         """Return the rest of the body."""
@@ -118,10 +118,10 @@
         """Hand a piece of the body to the reader."""
         self._chunks.put(chunk)
 
-    def end(self, error: OutsideError | None) -> None:
+    def end(self, error: ExternalSystemError | None) -> None:
         """End the body, whole or with `error`."""
         if not self.head.done():
-            self.head.set_exception(error or OutsideError("no answer"))
+            self.head.set_exception(error or ExternalSystemError("no answer"))
         self._chunks.put(error if error is not None else _END)
 
 
@@ -196,7 +196,7 @@
         return stream
 
     def request(self, call: Call) -> Reply:
-        """Make `call` and return its whole answer; raise `OutsideError`."""
+        """Make `call` and return its whole answer; raise `ExternalSystemError`."""
         stream = self.stream(call)
         head = stream.head.result()
         return Reply(head.status, head.headers, stream.read())
@@ -218,7 +218,7 @@
         if not ended:
             os.write(self._writer, b".")
         elif isinstance(item, _Transfer):
-            item.stream.end(_closed(sure=True))
+            item.stream.end(_closed(no_effect=True))
 
     # --- in the thread -----------------------------------------------------
 
@@ -250,9 +250,9 @@
         while self._todo:
             _, item = self._todo.popleft()
             if isinstance(item, _Transfer):
-                item.stream.end(_closed(sure=True))
+                item.stream.end(_closed(no_effect=True))
         for transfer in self._transfers.values():
-            transfer.stream.end(_closed(sure=False))
+            transfer.stream.end(_closed(no_effect=False))
 
     def _turn_until_stopped(self) -> None:
         while not self._stopped:
@@ -283,7 +283,7 @@
             if isinstance(item, _Transfer):
                 self._add(item)
             elif (curl := self._by_stream.get(item)) is not None:
-                self._finish(curl, OutsideError("cancelled"))
+                self._finish(curl, ExternalSystemError("cancelled"))
 
     def _add(self, transfer: _Transfer) -> None:
         curl = self._spare.pop() if self._spare else pycurl.Curl()
@@ -302,18 +302,20 @@
             if not left:
                 return
 
-    def _error(self, curl: pycurl.Curl, code: int, message: str) -> OutsideError:
+    def _error(self, curl: pycurl.Curl, code: int, message: str) -> ExternalSystemError:
         # Nothing can have run where no connection came to stand.  On a kept one that was dead
         # libcurl has sent the request before, whatever became of the connection after it.
         sent = curl.getinfo(pycurl.REQUEST_SIZE) > 0
         no_connection = code in (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
         refused = no_connection and curl.getinfo(pycurl.OS_ERRNO) == errno.ECONNREFUSED
-        sure = not sent and (no_connection or code == pycurl.E_OPERATION_TIMEDOUT)
+        no_effect = not sent and (no_connection or code == pycurl.E_OPERATION_TIMEDOUT)
         broken = code in _BROKEN_OFF or (sent and no_connection)
         url = self._transfers[curl].call.url
-        return OutsideError(f"{url}: {message or code}", sure=sure, refused=refused, broken=broken)
+        return ExternalSystemError(
+            f"{url}: {message or code}", no_effect=no_effect, refused=refused, broken=broken
+        )
 
-    def _finish(self, curl: pycurl.Curl, error: OutsideError | None) -> None:
+    def _finish(self, curl: pycurl.Curl, error: ExternalSystemError | None) -> None:
         transfer = self._transfers.pop(curl)
         del self._by_stream[transfer.stream]
         self._multi.remove_handle(curl)
@@ -323,5 +325,5 @@
         transfer.stream.end(error)
 
 
-def _closed(*, sure: bool) -> OutsideError:
-    return OutsideError("this process's client was closed", sure=sure)
+def _closed(*, no_effect: bool) -> ExternalSystemError:
+    return ExternalSystemError("this process's client was closed", no_effect=no_effect)
--- a/packages/node/src/fielddrift_node/keeping.py
+++ b/packages/node/src/fielddrift_node/keeping.py
@@ -6,9 +6,9 @@
 
 import msgspec
 from fielddrift_core.holding import should_keep
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import StoreHost
-from fielddrift_core.names import Manifest, Part, PrefixName, prefix_name
+from fielddrift_core.names import Manifest, ManifestPart, PrefixName, prefix_name
 
 from .exchange import Exchange
 from .log import get
@@ -53,7 +53,7 @@
         return True
     try:
         manifest = _write(exchange, started, name, store)
-    except OutsideError as error:
+    except ExternalSystemError as error:
         runtime.stores.note(store, worked=False)
         get().info("export failed", request=exchange.request_id, error=str(error))
         return False
@@ -77,9 +77,9 @@
     runtime = exchange.runtime
     raw = runtime.targets.export(started.choice.target, order, timeout=_EXPORT_SECONDS)
     try:
-        parts = tuple(msgspec.convert(raw, list[Part]))
+        parts = tuple(msgspec.convert(raw, list[ManifestPart]))
     except msgspec.ValidationError as error:
-        raise OutsideError(f"parts of an export: {error}") from None
+        raise ExternalSystemError(f"parts of an export: {error}") from None
     size = sum(part.length for part in parts)
     manifest = Manifest(name.path, attempt, name.blocks, name.digest, size, parts)
     runtime.stores.client(store).create(manifest)
--- a/packages/node/src/fielddrift_node/leasing.py
+++ b/packages/node/src/fielddrift_node/leasing.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 import msgspec
-from fielddrift_core.interfaces import OutsideError, Row, Table, Transaction, Write
+from fielddrift_core.interfaces import ExternalSystemError, Row, Table, Transaction, Write
 from fielddrift_core.leases import Lease, LeaseRow
 from fielddrift_core.names import rank
 
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
 
     def turn(self, duties: Sequence[str]) -> None:
-        """Renew or contend for each of `duties`; raise `OutsideError`."""
+        """Renew or contend for each of `duties`; raise `ExternalSystemError`."""
         with self._lock:
             for duty in duties:
                 self._leases.setdefault(duty, Lease(duty=duty, holder=self._holder))
@@ -68,19 +68,19 @@
                 fence = lease.fence
                 row = self._table.read([LEASE_PREFIX + duty])[0]
                 if row.version and decode_lease(row)[1:3] == (self._holder, fence):
-                    self._write(row, lease.give_back())
+                    self._write(row, lease.release())
 
     def _try(self, lease: Lease, row: Row) -> None:
         now = clock.now()
-        wish = lease.wish(decode_lease(row) if row.version else None, now)
+        wish = lease.next_row(decode_lease(row) if row.version else None, now)
         if wish is not None and self._write(row, wish):
-            lease.granted(wish, now)
+            lease.confirm(wish, now)
 
     def _write(self, row: Row, wish: LeaseRow) -> bool:
         value = msgspec.json.encode(wish).decode()
         write = Write(row.key, value, expect=row.version)
         try:
             return self._table.commit(Transaction((write,))).ok
-        except OutsideError:
+        except ExternalSystemError:
             # Unknown: the next turn reads the row and finds out.
             return False
--- a/packages/node/src/fielddrift_node/metrics.py
+++ b/packages/node/src/fielddrift_node/metrics.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 
 import statsd
-from fielddrift_core.errors import Kind, Refusal
+from fielddrift_core.errors import ErrorKind, Refusal
 
 __all__ = ["FLUSH_SECONDS", "METRICS", "RETRY_REASONS", "Metrics"]
 
@@ -60,7 +60,7 @@
     "holding.freed": "prefixes freed",
     "holding.moved": "prefixes moved between memory and disk",
     "holding.swept": "parts without a manifest removed",
-    **{f"refused.{kind.value}": f"refusals of the kind {kind.value}" for kind in Kind},
+    **{f"refused.{kind.value}": f"refusals of the kind {kind.value}" for kind in ErrorKind},
     **{f"retried.{reason}": f"requests tried again: {reason}" for reason in RETRY_REASONS},
 }
 
--- a/packages/node/src/fielddrift_node/operators.py
+++ b/packages/node/src/fielddrift_node/operators.py
@@ -12,8 +12,8 @@
 
 import msgspec
 from fielddrift_core.commands import Command, CreateCustomer, Rejected, RotateKey
-from fielddrift_core.errors import Kind, Refusal
-from fielddrift_core.grammar import Fresh, Lift, Query, parse
+from fielddrift_core.errors import ErrorKind, Refusal
+from fielddrift_core.grammar import GeneratedSecrets, Lift, Query, parse
 from fielddrift_core.membership import Status
 
 from . import clock
@@ -48,15 +48,15 @@
         """Return the statement's answer, or why there is none."""
         operator = self._operator(bearer(authorization))
         if operator is None:
-            return Refusal(Kind.UNAUTHORIZED, "Authorization: not the key of an operator")
+            return Refusal(ErrorKind.UNAUTHORIZED, "Authorization: not the key of an operator")
         try:
             asked = msgspec.json.decode(raw, type=_Statement)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return Refusal(Kind.BAD_REQUEST, f"body: {error}")
+            return Refusal(ErrorKind.BAD_REQUEST, f"body: {error}")
         if not 0 <= asked.wait <= _LONGEST_WAIT:
             detail = f"wait: {asked.wait}, expected 0 to {_LONGEST_WAIT:.0f} seconds"
-            return Refusal(Kind.BAD_REQUEST, detail)
-        fresh = Fresh(secrets.token_urlsafe(_KEY_BYTES), secrets.token_hex(_KEY_BYTES))
+            return Refusal(ErrorKind.BAD_REQUEST, detail)
+        fresh = GeneratedSecrets(secrets.token_urlsafe(_KEY_BYTES), secrets.token_hex(_KEY_BYTES))
         try:
             parsed = parse(asked.statement, fresh=fresh)
         except Rejected as rejected:
@@ -64,7 +64,7 @@
         if isinstance(parsed, Lift):
             if not self._runtime.crashes.lift(parsed.fingerprint):
                 detail = f"request: {parsed.fingerprint!r}: no target ended under it"
-                return Refusal(Kind.NOT_FOUND, detail)
+                return Refusal(ErrorKind.NOT_FOUND, detail)
             return {"let_go": parsed.fingerprint}
         if isinstance(parsed, Query):
             shown = answer(parsed, self._runtime, self._nodes)
@@ -77,7 +77,7 @@
         return found[0] if found else None
 
     def _change(
-        self, command: Command, asked: _Statement, operator: str, fresh: Fresh
+        self, command: Command, asked: _Statement, operator: str, fresh: GeneratedSecrets
     ) -> dict[str, Any] | Refusal:
         change_id = asked.change_id or uuid.uuid4().hex
         outcome = self._runtime.config.submit(
--- a/packages/node/src/fielddrift_node/outside.py
+++ b/packages/node/src/fielddrift_node/outside.py
@@ -7,8 +7,8 @@
 
 import msgspec
 from fielddrift_core.interfaces import (
+    ExternalSystemError,
     HostEntry,
-    OutsideError,
     Row,
     Transaction,
     TransactionResult,
@@ -36,7 +36,7 @@
 
 
 class HttpTable:
-    """The platform's table.  Every failure is an `OutsideError`."""
+    """The platform's table.  Every failure is an `ExternalSystemError`."""
 
     def __init__(
         self, *, address: str, http: HttpClient, metrics: Metrics, timeout: float = 2.0
@@ -59,7 +59,7 @@
         return rows
 
     def commit(self, transaction: Transaction) -> TransactionResult:
-        """Commit, or abort; an `OutsideError` that is not sure may hide either."""
+        """Commit, or abort; an `ExternalSystemError` that is not sure may hide either."""
         writes = [write._asdict() for write in transaction.writes]
         self._metrics.add("table.writes", len(writes))
         done = self._call("commit", {"writes": writes}, _Committed)
@@ -76,7 +76,7 @@
         )
         try:
             return _decode(self._http.request(call), kind)
-        except OutsideError:
+        except ExternalSystemError:
             self._metrics.add("table.failures")
             raise
 
@@ -122,7 +122,7 @@
 
 def _check(reply: Reply) -> None:
     if reply.status not in range(200, 300):
-        raise OutsideError(f"platform: status {reply.status}, expected 2xx")
+        raise ExternalSystemError(f"platform: status {reply.status}, expected 2xx")
 
 
 def _decode(reply: Reply, kind: type[Any]) -> Any:
@@ -130,4 +130,4 @@
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.DecodeError as error:
-        raise OutsideError(f"platform: {error}") from None
+        raise ExternalSystemError(f"platform: {error}") from None
--- a/packages/node/src/fielddrift_node/peers.py
+++ b/packages/node/src/fielddrift_node/peers.py
@@ -13,9 +13,9 @@
 from concurrent.futures import Future
 from typing import Any, Protocol, TypedDict, TypeVar
 
-from fielddrift_core.claims import ClaimRow, Word
+from fielddrift_core.claims import AttemptStatus, ClaimRow
 from fielddrift_core.crashes import Crash, CrashUpdate
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.membership import Member, Status, TargetWord
 from grpclib.client import Channel
 from grpclib.const import Status as GrpcStatus
@@ -61,7 +61,7 @@
     def snapshot(self) -> pb.SnapshotReply:
         """Return the whole configuration, and all members."""
 
-    def claim(self, claimant: str, attempt: str) -> Word:
+    def claim(self, claimant: str, attempt: str) -> AttemptStatus:
         """Return our word on one of our attempts."""
 
     def request(self, customer: str, request_id: str) -> str:
@@ -206,7 +206,7 @@
 
 
 class Peers:
-    """Call peers and serve them; calls block and raise `OutsideError`."""
+    """Call peers and serve them; calls block and raise `ExternalSystemError`."""
 
     def __init__(self, *, address: str, key: str, answers: PeerAnswers, metrics: Metrics) -> None:
         self._address = address
@@ -235,7 +235,7 @@
         """Return the configuration revision in force at a peer; None when it gives none."""
         try:
             return int(self.ping(peer, pb.Gossip()).revision)
-        except OutsideError:
+        except ExternalSystemError:
             return None
 
     def probe(self, helper: str, name: str) -> bool:
@@ -253,12 +253,12 @@
         """Return a peer's whole configuration and members."""
         return self._call(peer, lambda stub: stub.Snapshot, pb.SnapshotRequest(), 5.0)
 
-    def claim(self, row: ClaimRow) -> Word | None:
+    def claim(self, row: ClaimRow) -> AttemptStatus | None:
         """Ask a claimant for its word on its claim; None when it gives none."""
         request = pb.ClaimRequest(claimant=row.claimant, attempt=row.attempt)
         try:
-            return Word(self._call(row.address, lambda stub: stub.Claim, request).word)
-        except (OutsideError, ValueError):
+            return AttemptStatus(self._call(row.address, lambda stub: stub.Claim, request).word)
+        except (ExternalSystemError, ValueError):
             return None
 
     def request(self, peer: str, customer: str, request_id: str) -> str:
@@ -275,7 +275,7 @@
             reply = future.result(timeout=seconds + 1.0)
         except (GRPCError, StreamTerminatedError, ProtocolError, OSError, TimeoutError) as error:
             self._metrics.add("peers.failed")
-            raise OutsideError(f"peer {peer}: {error!r}") from None
+            raise ExternalSystemError(f"peer {peer}: {error!r}") from None
         self._metrics.add("peers.received", reply.ByteSize() + _HEADER_BYTES)
         return reply
 
--- a/packages/node/src/fielddrift_node/queries.py
+++ b/packages/node/src/fielddrift_node/queries.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Any, TypedDict
 
-from fielddrift_core.errors import Kind, Refusal
+from fielddrift_core.errors import ErrorKind, Refusal
 from fielddrift_core.grammar import Condition, Query
-from fielddrift_core.interfaces import OutsideError, Table
+from fielddrift_core.interfaces import ExternalSystemError, Table
 from fielddrift_core.leases import LeaseRow
 from fielddrift_core.membership import Membership, Status
 from fielddrift_core.model import TargetRole
@@ -68,7 +68,7 @@
     unknown = [f for f in (*(c.field for c in query.conditions), *query.by) if f not in columns]
     if rows and unknown:
         detail = f"field: {unknown[0]!r}, expected one of {', '.join(columns)}"
-        return Refusal(Kind.BAD_REQUEST, detail)
+        return Refusal(ErrorKind.BAD_REQUEST, detail)
     kept = [row for row in rows if all(_holds(row, c) for c in query.conditions)]
     if query.by:
         kept = _group(kept, query.by)
@@ -180,7 +180,7 @@
     for store in runtime.config.current.stores.values():
         try:
             held = runtime.stores.client(store).held()
-        except OutsideError:
+        except ExternalSystemError:
             partial.append(f"store {store.name} cannot be asked")
             continue
         for entry in held:
@@ -218,7 +218,7 @@
 def _duties(runtime: Runtime, nodes: Nodes, partial: list[str]) -> Rows:
     try:
         rows = nodes.table.scan(LEASE_PREFIX, LEASE_PREFIX, _MOST_ROWS)
-    except OutsideError:
+    except ExternalSystemError:
         partial.append("the platform's table cannot be read")
         return []
     leases: list[LeaseRow] = [decode_lease(row) for row in rows]
--- a/packages/node/src/fielddrift_node/relay.py
+++ b/packages/node/src/fielddrift_node/relay.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 import msgspec
-from fielddrift_core.errors import Kind, Ran, Refusal
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.stream import EventSequencer, StreamError
 
 from . import clock
@@ -107,11 +107,11 @@
                     yield ready
                 if self._sequencer.whole:
                     return
-        except (OutsideError, StreamError) as error:
+        except (ExternalSystemError, StreamError) as error:
             self._fault = str(error)
             # The detail of wrong events names their text, which stays out of the log.
-            self._reason = "cut" if isinstance(error, OutsideError) else "wrong-events"
-            if isinstance(error, OutsideError):
+            self._reason = "cut" if isinstance(error, ExternalSystemError) else "wrong-events"
+            if isinstance(error, ExternalSystemError):
                 self._exchange.broke_off(self._started.choice.target, error)
         else:
             self._fault = "the stream ended without its end mark"
@@ -140,7 +140,7 @@
 
     def _cut(self) -> Refusal:
         detail = f"cut after event {self._sequencer.following - 1}: {self._fault}"
-        return Refusal(Kind.CUT, detail, Ran.UNKNOWN, 0.5)
+        return Refusal(ErrorKind.CUT, detail, Ran.UNKNOWN, 0.5)
 
     # --- telling ------------------------------------------------------------
 
@@ -196,7 +196,7 @@
             runtime.metrics.add("exports.skipped")
 
     def _cut_unknown(self) -> Refusal:
-        return Refusal(Kind.CUT, "the stream was not brought to its end", Ran.UNKNOWN)
+        return Refusal(ErrorKind.CUT, "the stream was not brought to its end", Ran.UNKNOWN)
 
 
 def whole_answer(exchange: Exchange, relay: Relay) -> Answer:
--- a/packages/node/src/fielddrift_node/servers.py
+++ b/packages/node/src/fielddrift_node/servers.py
@@ -20,7 +20,7 @@
 from typing import Any
 from urllib.parse import unquote_to_bytes
 
-from fielddrift_core.errors import Kind, Ran, Refusal
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
 
 from .clock import SuspendAwareLoop
 from .log import get
@@ -205,7 +205,9 @@
 def _problem(fault: Fault) -> FaultAnswer:
     """Word a request that cannot be read as a problem document."""
     kind = (
-        Kind.TOO_LARGE if fault.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE else Kind.BAD_REQUEST
+        ErrorKind.TOO_LARGE
+        if fault.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        else ErrorKind.BAD_REQUEST
     )
     problem = Refusal(kind, fault.detail, Ran.NO).problem(request_id="")
     problem["status"] = fault.status
--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -11,7 +11,7 @@
 from fielddrift_core.errors import Refusal
 from fielddrift_core.fingerprint import fingerprint
 from fielddrift_core.retries import WindowBudget
-from fielddrift_core.stream import EventCutter
+from fielddrift_core.stream import EventFramer
 from fielddrift_core.target_registry import Instance
 from fielddrift_core.workload import Burden
 
@@ -90,7 +90,7 @@
         self.connection = ""
         """`kept` or `new`, as the last send's was; empty where none came up."""
         self.runs = 0
-        self.cutter: EventCutter | None = None
+        self.cutter: EventFramer | None = None
         """What cuts the answer of the last send into events, None for a plain request."""
         self.events_before = 0
         """Events that were handed on before the last send."""
@@ -102,12 +102,12 @@
         """Return whether bytes of an event that has not ended came of the last send."""
         return self.cutter is not None and self.cutter.partial
 
-    def send_events(self, *, after: str) -> EventCutter:
+    def send_events(self, *, after: str) -> EventFramer:
         """Return what cuts the answer of the next send into events, behind the id `after`."""
         if self.cutter is not None:
             self.events_before += self.cutter.events
             self.odd_before += self.cutter.odd
-        self.cutter = EventCutter(after=after)
+        self.cutter = EventFramer(after=after)
         return self.cutter
 
     def handed_on(self) -> HandedOn:
@@ -141,14 +141,14 @@
     @property
     def late(self) -> bool:
         """Return whether an answer cannot be in time any more."""
-        return self.waited >= self.route.aim
+        return self.waited >= self.route.latency_goal
 
     @property
     def rank(self) -> int:
         """Return how urgent the request is, 0 first: the customer's rank before the route's."""
-        if self.customer is not None and self.customer.rank is not None:
-            return self.customer.rank
-        return self.route.rank
+        if self.customer is not None and self.customer.priority is not None:
+            return self.customer.priority
+        return self.route.priority
 
     @property
     def customer_name(self) -> str:
--- a/packages/node/src/fielddrift_node/serving/gateway.py
+++ b/packages/node/src/fielddrift_node/serving/gateway.py
@@ -7,7 +7,7 @@
 
 import structlog
 from fielddrift_core.catalog import Route
-from fielddrift_core.errors import ANSWERS, Kind, Ran, Refusal
+from fielddrift_core.errors import ERROR_RESPONSES, ErrorKind, Ran, Refusal
 from fielddrift_core.leaving import longest_answer
 
 from ..web.server import Request, Responder
@@ -43,7 +43,7 @@
         """Answer one request."""
         ask = self._tools.callers.read(request)
         if isinstance(ask, BadAsk):
-            refusal = Refusal(Kind.BAD_REQUEST, ask.detail, Ran.NO)
+            refusal = Refusal(ErrorKind.BAD_REQUEST, ask.detail, Ran.NO)
             self._refuse(responder, "", refusal, Trace())
             return
         trace = Trace()
@@ -59,7 +59,7 @@
         except Refused as refused:
             self._refuse(responder, ask.request_id, refused.refusal, trace)
         except TimeoutError:
-            refusal = Refusal(Kind.DEADLINE, "no answer in time", _ran(trace))
+            refusal = Refusal(ErrorKind.DEADLINE, "no answer in time", _ran(trace))
             self._refuse(responder, ask.request_id, refusal, trace)
         except asyncio.CancelledError:
             self._tools.metrics.left.inc()
@@ -67,7 +67,7 @@
             raise
         except Exception:
             _log.exception("request failed", request=ask.request_id)
-            refusal = Refusal(Kind.INTERNAL, "the node failed", _ran(trace))
+            refusal = Refusal(ErrorKind.INTERNAL, "the node failed", _ran(trace))
             self._refuse(responder, ask.request_id, refusal, trace)
 
     async def _serve(self, call: Call, responder: Responder) -> None:
@@ -94,10 +94,10 @@
         longest = call.deadline - now
         if call.service.engine is not None and call.ask.prompt is not None:
             tokens = call.ask.prompt.tokens_out
-            longest = min(longest, longest_answer(aim=call.route.aim, tokens=tokens))
+            longest = min(longest, longest_answer(aim=call.route.latency_goal, tokens=tokens))
         if not leaving.takes(now, longest):
             detail = f"this node stops in {leaving.closes - now:.2f} s, it may take {longest:.2f} s"
-            raise Refused(Refusal(Kind.STOPPING, detail, Ran.NO, _ELSEWHERE_SECONDS))
+            raise Refused(Refusal(ErrorKind.STOPPING, detail, Ran.NO, _ELSEWHERE_SECONDS))
 
     # --- judging ------------------------------------------------------------
 
@@ -116,21 +116,23 @@
         catalog = views.catalog
         if catalog is None:
             detail = "no configuration is known yet"
-            raise Refused(Refusal(Kind.PLATFORM_DOWN, detail, Ran.NO, 1.0, "no-catalog"))
+            raise Refused(Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.NO, 1.0, "no-catalog"))
         route = catalog.route(ask.host, ask.path)
         if route is None:
             if views.stale.is_set():
                 raise self._unsure("route")
             detail = f"host {ask.host!r}, path {ask.path!r}: no route"
-            raise Refused(Refusal(Kind.NOT_FOUND, detail, Ran.NO))
+            raise Refused(Refusal(ErrorKind.NOT_FOUND, detail, Ran.NO))
         customer = catalog.customer(ask.key) if ask.key else None
         if customer is None and catalog.customers and not route.anonymous:
             if views.stale.is_set():
                 raise self._unsure("key")
-            raise Refused(Refusal(Kind.UNAUTHORIZED, "the key is missing or unknown", Ran.NO))
+            raise Refused(Refusal(ErrorKind.UNAUTHORIZED, "the key is missing or unknown", Ran.NO))
         service = catalog.services.get(self._share(route, ask))
         if service is None:
-            raise Refused(Refusal(Kind.NO_TARGET, f"route {route.name}: no service", Ran.NO, 1.0))
+            raise Refused(
+                Refusal(ErrorKind.NO_TARGET, f"route {route.name}: no service", Ran.NO, 1.0)
+            )
         patience = ask.patience if ask.patience is not None else _DEFAULT_PATIENCE
         began = ask.request.arrived
         deadline = began + min(patience, route.timeout)
@@ -139,7 +141,7 @@
 
     def _unsure(self, what: str) -> Refused:
         detail = f"this node was paused and does not know whether the {what} exists"
-        return Refused(Refusal(Kind.PLATFORM_DOWN, detail, Ran.NO, _RETURN_SECONDS, "stale"))
+        return Refused(Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.NO, _RETURN_SECONDS, "stale"))
 
     def _share(self, route: Route, ask: Ask) -> str:
         if len(route.shares) == 1:
@@ -164,8 +166,8 @@
             )
             responder.cut()
             return
-        status = ANSWERS[refusal.kind].status
-        if refusal.kind is Kind.DEADLINE and refusal.ran is not Ran.NO:
+        status = ERROR_RESPONSES[refusal.kind].status
+        if refusal.kind is ErrorKind.DEADLINE and refusal.ran is not Ran.NO:
             status = 504
         elif refusal.ran is not Ran.NO:
             status = _STATUS_NOT_PROVED.get(status, status)
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -12,7 +12,7 @@
 
 import structlog
 from fielddrift_core.placement import EngineChoice, move_seconds
-from fielddrift_core.stream import EventCutter, first_id
+from fielddrift_core.stream import EventFramer, first_event_id
 from fielddrift_core.urgency import urgency
 
 from ..web.client import Exchange, ExchangeError
@@ -54,7 +54,7 @@
     exchange: Exchange
     head: ResponseHead
     first: bytes
-    cutter: EventCutter
+    cutter: EventFramer
     began: float
     ended: list[bool]
 
@@ -164,7 +164,7 @@
         self._heard_weights(call, send, head)
         return _Run(choice, exchange, head, first, cutter, began, [])
 
-    async def _first(self, exchange: Exchange, head: ResponseHead, cutter: EventCutter) -> bytes:
+    async def _first(self, exchange: Exchange, head: ResponseHead, cutter: EventFramer) -> bytes:
         """Return the first whole events, or the first bytes of an answer that is none.
 
         Nothing where a resumed run ends at once: every event had come before.
@@ -194,7 +194,9 @@
     def _patience(self, call: Call, choice: EngineChoice) -> float | None:
         if not call.route.repeatable:
             return None
-        return max(_FIRST_EVENT_AIMS * call.route.aim, FIRST_EVENT_ESTIMATES * choice.seconds)
+        return max(
+            _FIRST_EVENT_AIMS * call.route.latency_goal, FIRST_EVENT_ESTIMATES * choice.seconds
+        )
 
     # --- relaying -------------------------------------------------------------
 
@@ -237,13 +239,13 @@
         self._learn(call, run.choice, failure)
         run.exchange.cancel()
         attempts.failed(failure)
-        if not cutter.marked:
+        if not cutter.resumable:
             # A run behind the last id, or one that begins anew, would repeat what the caller got.
             raise attempts.exhausted("events without an id, no run can go on behind them")
         return False
 
     def _pause(self, call: Call) -> float:
-        return max(_FIRST_EVENT_AIMS * call.route.aim, _PAUSE_AIMS * call.route.pause_aim)
+        return max(_FIRST_EVENT_AIMS * call.route.latency_goal, _PAUSE_AIMS * call.route.gap_goal)
 
     def _ended(self, call: Call, run: _Run) -> None:
         run.exchange.cancel()
@@ -308,7 +310,7 @@
             connection=trace.connection,
             weights=trace.weights,
             after=short_id(after or call.ask.resume_after),
-            first=short_id(first_id(run.first)) if _streams(run.head) else "",
+            first=short_id(first_event_id(run.first)) if _streams(run.head) else "",
             events_before=trace.events_before,
             runs=trace.runs,
         )
@@ -321,7 +323,7 @@
         """
         now = asyncio.get_running_loop().time()
         late = call.late and self._tools.views.just_started(now)
-        return urgency(call.rank, late=late, ranks=call.catalog.ranks)
+        return urgency(call.rank, late=late, ranks=call.catalog.priorities)
 
     # --- counting -------------------------------------------------------------
 
--- a/packages/node/src/fielddrift_node/serving/kept.py
+++ b/packages/node/src/fielddrift_node/serving/kept.py
@@ -121,7 +121,7 @@
         prompt = call.ask.prompt
         assert prompt is not None
         reading = choice.reading(prompt.tokens_in + choice.burden.unread)
-        spare = call.began + call.route.aim - reading - _READ_SPARE_SECONDS - now
+        spare = call.began + call.route.latency_goal - reading - _READ_SPARE_SECONDS - now
         patience = max(spare, _LEAST_FETCH_SECONDS, _FETCH_ESTIMATES * choice.recall.fetch_seconds)
         return self._views.until(now + min(FETCH_SECONDS, patience))
 
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from fielddrift_core.candidates import MOST_WEIGHED, sample
-from fielddrift_core.errors import Kind, Ran, Refusal
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.overload import LATE_PART, come_back, is_crowded, return_after
 from fielddrift_core.placement import (
     FAILING_SHARE,
@@ -100,7 +100,7 @@
         assert prompt is not None and traits is not None
         views = self._tools.views
         now = asyncio.get_running_loop().time()
-        names = [line_name(call.service.name, r) for r in call.catalog.ranks if r <= call.rank]
+        names = [line_name(call.service.name, r) for r in call.catalog.priorities if r <= call.rank]
         ahead = sum(views.workload.at(name, now).memory for name in names)
         engines = len(views.registry.serving(call.service.name))
         return room.turnover.wait(ahead + prompt.tokens, engines * traits.memory)
@@ -116,7 +116,7 @@
         if closed is None:
             back = return_after(patience=call.deadline - now, rng=self._tools.rng)
             detail = "no engine takes requests of this node"
-            raise Refused(Refusal(Kind.OVERLOADED, detail, Ran.NO, back, "closed"))
+            raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "closed"))
         return closed
 
     def _admit(self, call: Call, choice: EngineChoice, wait: float) -> None:
@@ -128,15 +128,15 @@
         back = come_back(
             patience=call.ask.patience or call.deadline - call.began,
             estimate=wait + choice.seconds,
-            aim=call.route.aim,
-            crowded=is_crowded(queue=queue, aim=call.route.aim),
+            aim=call.route.latency_goal,
+            crowded=is_crowded(queue=queue, aim=call.route.latency_goal),
             rng=self._tools.rng,
         )
         if back is None:
             return
         detail = f"room in {wait:.2f} s, first event {choice.seconds:.2f} s later"
-        detail += f", {call.route.aim:.2f} s is in time"
-        raise Refused(Refusal(Kind.OVERLOADED, detail, Ran.NO, back))
+        detail += f", {call.route.latency_goal:.2f} s is in time"
+        raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back))
 
     async def _in_line(
         self, call: Call, attempts: Attempts, best: EngineChoice, room: Room, rank: int
@@ -145,7 +145,7 @@
         loop = asyncio.get_running_loop()
         prompt = call.ask.prompt
         assert prompt is not None
-        aim, began = call.route.aim, loop.time()
+        aim, began = call.route.latency_goal, loop.time()
         due = max(call.began + LATE_PART * aim - best.seconds, began + _LEAST_WAIT_PART * aim)
         waiter = Waiter(call.trace.key, rank, due, prompt.tokens)
         workload, name = self._tools.views.workload, line_name(call.service.name, rank)
@@ -177,14 +177,14 @@
         patience = call.deadline - asyncio.get_running_loop().time()
         back = return_after(patience=patience, rng=self._tools.rng)
         detail = f"no engine had room for {seconds:.2f} s"
-        raise Refused(Refusal(Kind.OVERLOADED, detail, Ran.NO, back, "no-room"))
+        raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "no-room"))
 
     # --- choosing ---------------------------------------------------------------
 
     def _fitting(self, call: Call, tried: set[str]) -> EngineChoice | None:
         """Return the best engine that works and has room, None when there is none."""
         turnover = self._tools.views.rooms.of(call.service.name).turnover
-        part = turnover.room_part(call.rank, call.catalog.ranks)
+        part = turnover.room_part(call.rank, call.catalog.priorities)
         return self._choose(call, tried, part=part, sends=True)
 
     def _choose(
@@ -200,7 +200,7 @@
             self._sights(call, tried, lookup, _Wanted(part, sends), now),
             traits=traits,
             data_centre=self._tools.settings.data_centre,
-            aim=call.route.aim,
+            aim=call.route.latency_goal,
             holders=lookup.holders,
             room_part=part,
         )
@@ -225,7 +225,7 @@
         if part is not None:
             working = self._working(candidates, now)
             candidates = [c for c in working if has_room(c.burden, prompt, traits, part)]
-            if call.rank > min(call.catalog.ranks, default=call.rank):
+            if call.rank > min(call.catalog.priorities, default=call.rank):
                 # What waits here leaves the reading of engines to more urgent prompts.
                 candidates = [c for c in candidates if self._reads_soon(call, c)]
         elif len(candidates) > MOST_WEIGHED:
--- a/packages/node/src/fielddrift_node/serving/plain.py
+++ b/packages/node/src/fielddrift_node/serving/plain.py
@@ -106,4 +106,4 @@
     def _patience(self, call: Call) -> float | None:
         if not call.route.repeatable:
             return None
-        return max(_LEAST_SILENCE, _SILENCE_AIMS * call.route.aim)
+        return max(_LEAST_SILENCE, _SILENCE_AIMS * call.route.latency_goal)
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import structlog
-from fielddrift_core.errors import Kind, Ran, Refusal
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.target_registry import Instance
 
 from ..web.client import Exchange, ExchangeError
@@ -140,7 +140,7 @@
 
     def _refusal(self, detail: str, return_after: float | None) -> Refusal:
         ran = Ran.UNKNOWN if self._call.trace.unproved else Ran.NO
-        return Refusal(Kind.NO_TARGET, detail, ran, return_after)
+        return Refusal(ErrorKind.NO_TARGET, detail, ran, return_after)
 
 
 async def send_once(tools: Tools, send: Send, call: Call) -> tuple[Exchange, ResponseHead]:
--- a/packages/node/src/fielddrift_node/settle.py
+++ b/packages/node/src/fielddrift_node/settle.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from fielddrift_core.errors import Kind, Ran, Refusal
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
 
 from .exchange import Exchange
 
@@ -20,7 +20,7 @@
 KEY_HEADER = "Idempotency-Key"
 ATTEMPT_HEADER = "Fielddrift-Attempt"
 
-_WRONG_IN_ITSELF = (Kind.BAD_REQUEST, Kind.TOO_LARGE, Kind.KEY_REUSED)
+_WRONG_IN_ITSELF = (ErrorKind.BAD_REQUEST, ErrorKind.TOO_LARGE, ErrorKind.KEY_REUSED)
 
 
 class TryFailed(Exception):
@@ -55,11 +55,11 @@
     runtime = exchange.runtime
     refusal = None
     if exchange.left <= 0:
-        refusal = Refusal(Kind.DEADLINE, "the deadline passed before it was sent", Ran.NO, 0.5)
+        refusal = Refusal(ErrorKind.DEADLINE, "the deadline passed before it was sent", Ran.NO, 0.5)
     elif held := exchange.held_back():
         refusal = held
     elif exchange.claim and not runtime.claims.begin_send(exchange.claim):
-        refusal = Refusal(Kind.PLATFORM_DOWN, "the claim was given up", Ran.NO, 1.0)
+        refusal = Refusal(ErrorKind.PLATFORM_DOWN, "the claim was given up", Ran.NO, 1.0)
     if refusal is not None:
         settle_refused(exchange, refusal)
         return refusal
--- a/packages/node/src/fielddrift_node/stores.py
+++ b/packages/node/src/fielddrift_node/stores.py
@@ -13,9 +13,9 @@
 
 import msgspec
 from fielddrift_core.holding import Held
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import Configuration, StoreHost
-from fielddrift_core.names import Manifest, Part, PrefixName, rank
+from fielddrift_core.names import Manifest, ManifestPart, PrefixName, rank
 from fielddrift_core.retries import Breaker
 
 from . import clock
@@ -41,7 +41,7 @@
     blocks: int
     digest: str
     size: int
-    parts: list[Part]
+    parts: list[ManifestPart]
 
     def manifest(self) -> Manifest:
         return Manifest(
@@ -64,7 +64,7 @@
 
 
 class StoreClient:
-    """Call one store host; raise `OutsideError`."""
+    """Call one store host; raise `ExternalSystemError`."""
 
     def __init__(self, *, http: HttpClient, store: StoreHost) -> None:
         self._http = http
@@ -105,16 +105,16 @@
         call = Call("GET", f"{self._url}/{path}", timeout=timeout, connect_timeout=timeout)
         reply = self._http.request(call)
         if reply.status != 200:
-            raise OutsideError(f"{call.url}: status {reply.status}, expected 200")
+            raise ExternalSystemError(f"{call.url}: status {reply.status}, expected 200")
         try:
             return msgspec.json.decode(reply.body, type=kind)
         except msgspec.DecodeError as error:
-            raise OutsideError(f"{call.url}: {error}") from None
+            raise ExternalSystemError(f"{call.url}: {error}") from None
 
     def _send(self, method: str, path: str, body: bytes | None = None) -> int:
         reply = self._http.request(Call(method, f"{self._url}/{path}", body, _JSON))
         if reply.status >= 400 and reply.status != 409:
-            raise OutsideError(f"{method} {self._url}/{path}: status {reply.status}")
+            raise ExternalSystemError(f"{method} {self._url}/{path}: status {reply.status}")
         return reply.status
 
 
@@ -167,7 +167,7 @@
     def _look(self, store: StoreHost, folder: str) -> list[Manifest]:
         try:
             found = self.client(store).folder(folder)
-        except OutsideError:
+        except ExternalSystemError:
             self.note(store, worked=False)
             return []
         self.note(store, worked=True)
@@ -176,7 +176,7 @@
     def _done(self, future: Future[list[Manifest]]) -> list[Manifest]:
         try:
             return future.result(timeout=0)
-        except (FutureTimeout, OutsideError):
+        except (FutureTimeout, ExternalSystemError):
             return []
 
     def _breaker(self, store: StoreHost) -> Breaker:
--- a/packages/node/src/fielddrift_node/targets.py
+++ b/packages/node/src/fielddrift_node/targets.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import Target
 from fielddrift_core.routing import Load
 
@@ -112,7 +112,7 @@
 
 
 class TargetClient:
-    """Call targets; raise `OutsideError`."""
+    """Call targets; raise `ExternalSystemError`."""
 
     def __init__(self, *, http: HttpClient) -> None:
         self._http = http
@@ -164,11 +164,11 @@
         try:
             return msgspec.json.decode(reply.body, type=kind)
         except msgspec.DecodeError as error:
-            raise OutsideError(f"{call.url}: {error}") from None
+            raise ExternalSystemError(f"{call.url}: {error}") from None
 
 
 def read_head(head: Head) -> EngineHead:
-    """Return an engine's head; raise `OutsideError` when it is not one."""
+    """Return an engine's head; raise `ExternalSystemError` when it is not one."""
     try:
         fields = dict(pair.split("=") for pair in head.headers["x-context"].split())
         load = msgspec.json.decode(head.headers["x-load"], type=LoadReport)
@@ -183,9 +183,9 @@
             load=load,
         )
     except (KeyError, ValueError) as error:
-        raise OutsideError(f"head of an engine's answer: {error!r}") from None
+        raise ExternalSystemError(f"head of an engine's answer: {error!r}") from None
 
 
 def _check(reply: Reply, call: Call) -> None:
     if reply.status not in range(200, 300):
-        raise OutsideError(f"{call.method} {call.url}: status {reply.status}, expected 2xx")
+        raise ExternalSystemError(f"{call.method} {call.url}: status {reply.status}, expected 2xx")
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from fielddrift_core.interfaces import (
-    OutsideError,
+    ExternalSystemError,
     Row,
     Transaction,
     TransactionResult,
@@ -37,7 +37,7 @@
         result = self.apply(transaction)
         if self.lose > 0:
             self.lose -= 1
-            raise OutsideError("answer lost")
+            raise ExternalSystemError("answer lost")
         return result
 
     def apply(self, transaction: Transaction) -> TransactionResult:
@@ -58,7 +58,7 @@
 
     def _check(self) -> None:
         if self.down:
-            raise OutsideError("table is down", sure=True)
+            raise ExternalSystemError("table is down", no_effect=True)
 
 
 class FakeObjects:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,20 +10,20 @@
 
 from fielddrift_core import claims as core
 from fielddrift_core.claims import (
-    Ask,
-    ClaimBook,
+    AskClaimant,
+    AttemptRegistry,
+    AttemptStatus,
+    ClaimOutcome,
     ClaimRow,
     ClaimState,
-    Insert,
-    Outcome,
-    Seen,
-    TakeOver,
-    Word,
-    claiming,
-    judge,
+    InsertClaim,
+    StoredClaim,
+    TakeOverClaim,
+    claim_steps,
+    decide,
 )
-from fielddrift_core.errors import Kind, Ran, Refusal
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_node.claims import Claim, ClaimDesk
 from fielddrift_node.metrics import Metrics
 
@@ -36,7 +36,7 @@
 
     def __init__(self, number: int, boot: int) -> None:
         self.name = f"node-{number}-{boot}"
-        self.book = ClaimBook()
+        self.book = AttemptRegistry()
         self.driving: list[list[Any]] = []
         self.held: list[ClaimRow] = []
 
@@ -49,7 +49,7 @@
         self.boots = 0
         self.attempts = 0
         self.nodes = [self._boot(n) for n in range(3)]
-        self.row: Seen | None = None
+        self.row: StoredClaim | None = None
         self.late: list[Any] = []
         self.journal: list[str] = []
         for node in self.nodes:
@@ -90,7 +90,7 @@
         if state is ClaimState.RAN:
             self.journal.append(row.attempt)
         if self.row is not None and self.row.row.attempt == row.attempt:
-            self.row = Seen(row._replace(state=state, body=""), self.row.version + 1)
+            self.row = StoredClaim(row._replace(state=state, body=""), self.row.version + 1)
 
     def send_and_crash(self) -> None:
         node = self.rng.choice(self.nodes)
@@ -118,17 +118,17 @@
     def _request(self, node: _Node) -> None:
         self.attempts += 1
         row = ClaimRow("c", "k", node.name, node.name, f"a{self.attempts}", "digest")
-        steps = claiming(row, node.book)
+        steps = claim_steps(row, node.book)
         node.driving.append([steps, next(steps), row])
 
     def _write(self, step: Any) -> None:
-        absent = isinstance(step, Insert) and self.row is None
+        absent = isinstance(step, InsertClaim) and self.row is None
         version = self.row.version if self.row else 0
-        if absent or (isinstance(step, TakeOver) and step.version == version):
-            self.row = Seen(step.row, version + 1)
+        if absent or (isinstance(step, TakeOverClaim) and step.version == version):
+            self.row = StoredClaim(step.row, version + 1)
 
     def _event(self, step: Any, fate: str) -> Any:
-        if isinstance(step, Ask):
+        if isinstance(step, AskClaimant):
             asked = [n for n in self.nodes if n.name == step.row.claimant]
             return asked[0].book.word(step.row.attempt) if asked and fate == "ok" else None
         if fate == "late":
@@ -138,10 +138,10 @@
             self._write(step)
         return self.row if fate == "ok" else None
 
-    def _ended(self, node: _Node, row: ClaimRow, outcome: Outcome) -> None:
+    def _ended(self, node: _Node, row: ClaimRow, outcome: ClaimOutcome) -> None:
         if outcome.refusal is None and outcome.kept is None:
             node.held.append(row)
-        elif outcome.refusal is not None and outcome.refusal.kind is Kind.PLATFORM_DOWN:
+        elif outcome.refusal is not None and outcome.refusal.kind is ErrorKind.PLATFORM_DOWN:
             # The caller asks again, at any node.
             self.request()
 
@@ -153,18 +153,23 @@
     def test_taking_over_from_a_silent_claimant_runs_twice(self) -> None:
         """Without the rule that only the claimant's word frees a claim, a key runs twice."""
 
-        def careless(row: ClaimRow, mine: ClaimRow, word: Word | None) -> core.Found:
+        def careless(
+            row: ClaimRow, mine: ClaimRow, word: AttemptStatus | None
+        ) -> core.ClaimDecision:
             silent = row.state is ClaimState.CLAIMED and word is None
-            return core.Found(take_over=True) if silent else judge(row, mine, word)
+            return core.ClaimDecision(take_over=True) if silent else decide(row, mine, word)
 
-        with mock.patch.object(core, "judge", careless), self.assertRaisesRegex(Exception, "twice"):
+        with (
+            mock.patch.object(core, "decide", careless),
+            self.assertRaisesRegex(Exception, "twice"),
+        ):
             explore(ClaimWalk)
 
     def test_sending_after_abandoning_runs_twice(self) -> None:
         """Without the book's settling, an abandoned attempt can still be sent."""
         with (
-            mock.patch.object(ClaimBook, "abandon", lambda self, attempt: True),
-            mock.patch.object(ClaimBook, "word", lambda self, attempt: Word.NEVER),
+            mock.patch.object(AttemptRegistry, "abandon", lambda self, attempt: True),
+            mock.patch.object(AttemptRegistry, "word", lambda self, attempt: AttemptStatus.NEVER),
             self.assertRaisesRegex(Exception, "twice"),
         ):
             explore(ClaimWalk)
@@ -172,9 +177,9 @@
     def test_a_key_of_another_request_is_noticed(self) -> None:
         mine = ClaimRow("c", "k", "n", "n", "a1", "digest-1")
         other = ClaimRow("c", "k", "n", "n", "a0", "digest-0", ClaimState.RAN, 200, "", "x")
-        refusal = judge(other, mine, None).refusal
+        refusal = decide(other, mine, None).refusal
         assert refusal is not None
-        self.assertEqual((refusal.kind, refusal.ran), (Kind.KEY_REUSED, Ran.NO))
+        self.assertEqual((refusal.kind, refusal.ran), (ErrorKind.KEY_REUSED, Ran.NO))
 
 
 class ClaimDeskTest(unittest.TestCase):
@@ -199,7 +204,7 @@
         self.addCleanup(desk.close)
         return desk
 
-    def _ask(self, row: ClaimRow) -> Word | None:
+    def _ask(self, row: ClaimRow) -> AttemptStatus | None:
         if row.claimant in self.silent:
             return None
         return self.desks[row.claimant].word(row.claimant, row.attempt)
@@ -219,12 +224,12 @@
         refusal = self._claim("n1")
         self.table.read = read  # type: ignore[method-assign]
         assert isinstance(refusal, Refusal)
-        self.assertEqual((refusal.kind, refusal.ran), (Kind.PLATFORM_DOWN, Ran.NO))
+        self.assertEqual((refusal.kind, refusal.ran), (ErrorKind.PLATFORM_DOWN, Ran.NO))
         self.assertIn("claim/c/k", self.table.rows)
         self.assertIsInstance(self._claim("n2"), Claim)
 
     def _unreadable(self, keys: Any) -> Any:
-        raise OutsideError("table is down")
+        raise ExternalSystemError("table is down")
 
     def test_a_key_proved_not_run_is_free_before_its_row_is_written(self) -> None:
         """Found on a busy machine: a repeat quicker than the row got 409."""
@@ -241,7 +246,7 @@
         self.silent.add("n1")
         refusal = self._claim("n2")
         assert isinstance(refusal, Refusal)
-        self.assertEqual((refusal.kind, refusal.ran), (Kind.OUTCOME_UNKNOWN, Ran.UNKNOWN))
+        self.assertEqual((refusal.kind, refusal.ran), (ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN))
 
     def test_the_kept_outcome_answers_a_repeat(self) -> None:
         claim = self._claim("n1")
--- a/tests/test_cli_beliefs.py
+++ b/tests/test_cli_beliefs.py
@@ -7,7 +7,7 @@
 
 from click.testing import CliRunner, Result
 from fielddrift_cli.main import main
-from fielddrift_core.errors import ANSWERS, Kind
+from fielddrift_core.errors import ERROR_RESPONSES, ErrorKind
 from fielddrift_standins.worker import Worker
 
 from .platform_fleet import HOST, FleetCase, eventually, free_port
@@ -40,7 +40,7 @@
     async def test_a_node_that_does_not_answer_is_named_beside_those_that_do(self) -> None:
         gone = f"{HOST}:{free_port()}"
         result = await self._run("--node", gone, "--node", self.nodes[0].settings.metrics)
-        self.assertEqual(result.exit_code, ANSWERS[Kind.NO_TARGET].exit_code)
+        self.assertEqual(result.exit_code, ERROR_RESPONSES[ErrorKind.NO_TARGET].exit_code)
         self.assertIn("node-1 believes:", result.output)
         self.assertIn(f"{gone}: ", result.output)
 
--- a/tests/test_configlog.py
+++ b/tests/test_configlog.py
@@ -14,8 +14,8 @@
     decode_snapshot,
     encode_snapshot,
 )
-from fielddrift_core.errors import Kind, Ran, Refusal
-from fielddrift_core.grammar import Fresh, parse
+from fielddrift_core.errors import ErrorKind, Ran, Refusal
+from fielddrift_core.grammar import GeneratedSecrets, parse
 from fielddrift_core.model import Configuration
 from fielddrift_node.configuration import Accepted, ConfigSync
 from fielddrift_node.metrics import Metrics
@@ -26,7 +26,7 @@
 
 def statement(text: str) -> Command:
     """Return the command of a statement."""
-    command = parse(text, fresh=Fresh(key="k", salt="s"))
+    command = parse(text, fresh=GeneratedSecrets(key="k", salt="s"))
     assert not hasattr(command, "noun")
     return command  # type: ignore[return-value]
 
@@ -56,10 +56,10 @@
 
     def snapshot(self) -> None:
         view = self.rng.choice(self.views)
-        view.take_snapshot(decode_snapshot(encode_snapshot(self.true[-1])))
+        view.apply_snapshot(decode_snapshot(encode_snapshot(self.true[-1])))
 
     def old_snapshot(self) -> None:
-        self.rng.choice(self.views).take_snapshot(self.rng.choice(self.true))
+        self.rng.choice(self.views).apply_snapshot(self.rng.choice(self.true))
 
     def check(self) -> None:
         for number, view in enumerate(self.views):
@@ -78,7 +78,7 @@
             return True
 
         with (
-            mock.patch.object(ConfigView, "take_snapshot", careless),
+            mock.patch.object(ConfigView, "apply_snapshot", careless),
             self.assertRaisesRegex(Exception, "went back"),
         ):
             explore(ViewWalk)
@@ -109,7 +109,7 @@
         self.assertEqual(self._submit(one, "drain target e", "i2"), Accepted(3))
         refusal = self._submit(two, "drop target e", "i3", since=seen)
         assert isinstance(refusal, Refusal)
-        self.assertEqual((refusal.kind, refusal.ran), (Kind.CONFLICT, Ran.NO))
+        self.assertEqual((refusal.kind, refusal.ran), (ErrorKind.CONFLICT, Ran.NO))
         self.assertIn("i2", refusal.detail)
         self.assertTrue(two.current.targets["e"].draining)
 
@@ -138,7 +138,7 @@
         sync = self._sync()
         self.table.down = True
         refusal = self._submit(sync, "create customer a", "i1")
-        self.assertEqual((refusal.kind, refusal.ran), (Kind.PLATFORM_DOWN, Ran.UNKNOWN))
+        self.assertEqual((refusal.kind, refusal.ran), (ErrorKind.PLATFORM_DOWN, Ran.UNKNOWN))
 
     def test_a_fresh_node_takes_the_stored_snapshot_and_the_rest(self) -> None:
         sync = self._sync()
@@ -151,7 +151,7 @@
 
     def test_a_command_that_does_not_fit_is_refused_with_the_value(self) -> None:
         refusal = self._submit(self._sync(), "drain target nowhere", "i1")
-        self.assertEqual(refusal.kind, Kind.NOT_FOUND)
+        self.assertEqual(refusal.kind, ErrorKind.NOT_FOUND)
         self.assertIn("nowhere", refusal.detail)
 
     def test_applying_never_changes_the_configuration_before(self) -> None:
--- a/tests/test_crash_desk.py
+++ b/tests/test_crash_desk.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from fielddrift_core.crashes import CrashUpdate
-from fielddrift_core.interfaces import OutsideError, Row
+from fielddrift_core.interfaces import ExternalSystemError, Row
 from fielddrift_core.lost_runs import LostRun
 from fielddrift_core.model import Target, TargetRole
 from fielddrift_node import clock
@@ -87,8 +87,8 @@
 
     def test_a_write_that_failed_is_tried_again(self) -> None:
         self._hold()
-        with mock.patch.object(self.table, "commit", side_effect=OutsideError("down")):
-            self.assertRaises(OutsideError, self.desk.turn)
+        with mock.patch.object(self.table, "commit", side_effect=ExternalSystemError("down")):
+            self.assertRaises(ExternalSystemError, self.desk.turn)
         self.desk.turn()
         self.assertEqual(len(self.table.scan(CRASH_PREFIX, CRASH_PREFIX, 10)), 1)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,10 +8,10 @@
 from collections import Counter
 
 from fielddrift_core.admission import Admission
-from fielddrift_core.errors import Kind, Ran
+from fielddrift_core.errors import ErrorKind, Ran
 from fielddrift_core.holding import Held, plan, should_keep, value
 from fielddrift_core.links import FADE_SECONDS, Link
-from fielddrift_core.model import HoldRule, Target, TargetRole, Weights
+from fielddrift_core.model import CostWeights, HoldRule, Target, TargetRole
 from fielddrift_core.retries import (
     BREAK_AFTER,
     FIRST_REST,
@@ -55,30 +55,30 @@
     KEPT = Kept(blocks=30, size=120_000, seconds=0.05, link_seconds=0.05)
 
     def test_a_quick_import_beats_computing(self) -> None:
-        choice = choose(Need(8000, 32, Weights(), self.KEPT), [view(1)])
+        choice = choose(Need(8000, 32, CostWeights(), self.KEPT), [view(1)])
         self.assertIs(choice.source, Source.IMPORT)
 
     def test_a_crowded_link_is_not_waited_for(self) -> None:
         kept = self.KEPT._replace(seconds=5.0)
-        choice = choose(Need(8000, 32, Weights(), kept), [view(1)])
+        choice = choose(Need(8000, 32, CostWeights(), kept), [view(1)])
         self.assertIs(choice.source, Source.RECOMPUTE)
 
     def test_a_thin_links_weights_prefer_the_import(self) -> None:
         kept = self.KEPT._replace(seconds=2.0)
-        weights = Weights(ttft=0.1, recompute=3.0, link=0.3)
+        weights = CostWeights(ttft=0.1, recompute=3.0, link=0.3)
         choice = choose(Need(8000, 32, weights, kept), [view(1)])
         self.assertIs(choice.source, Source.IMPORT)
 
     def test_memory_beats_an_idle_target(self) -> None:
-        choice = choose(Need(8000, 32, Weights()), [view(1), view(2, memory_blocks=32)])
+        choice = choose(Need(8000, 32, CostWeights()), [view(1), view(2, memory_blocks=32)])
         self.assertEqual((choice.target.name, choice.source), ("t2", Source.MEMORY))
 
     def test_own_sends_since_the_load_count(self) -> None:
         views = [view(1, sent=20, sent_tokens=90_000), view(2, load=Load(running=3))]
-        self.assertEqual(choose(Need(8000, 32, Weights()), views).target.name, "t2")
+        self.assertEqual(choose(Need(8000, 32, CostWeights()), views).target.name, "t2")
 
     def test_what_would_come_too_late_is_avoided_whatever_the_weights(self) -> None:
-        weights = Weights(ttft=0.0, recompute=3.0, link=0.0)
+        weights = CostWeights(ttft=0.0, recompute=3.0, link=0.0)
         kept = self.KEPT._replace(seconds=25.0)
         choice = choose(Need(8000, 32, weights, kept, patience=30.0), [view(1)])
         self.assertIs(choice.source, Source.RECOMPUTE)
@@ -108,7 +108,7 @@
             views = [
                 view(int(t.name[1:]), load=Load(running=loads[int(t.name[1:])])) for t in drawn
             ]
-            choice = POLICIES[policy].choose(Need(8000, 32, Weights()), views, rng)
+            choice = POLICIES[policy].choose(Need(8000, 32, CostWeights()), views, rng)
             assert choice is not None
             counts[choice.target.name] += 1
         return max(counts.values()) / (sum(counts.values()) / 22)
@@ -134,7 +134,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    def _check(self, admission: Admission, customer: str, **more: float) -> Kind | None:
+    def _check(self, admission: Admission, customer: str, **more: float) -> ErrorKind | None:
         fields = {"ttft": 0.2, "wait": 0.0, "patience": 5.0, "now": 0.0, **more}
         refusal = admission.check(
             customer=customer, share=1.0, tokens=8000, room_rate=100_000.0, **fields
@@ -145,8 +145,8 @@
         return refusal.kind if refusal else None
 
     def test_a_deadline_that_cannot_be_met_is_refused(self) -> None:
-        self.assertIs(self._check(Admission(), "a", ttft=9.0), Kind.DEADLINE)
-        self.assertIs(self._check(Admission(), "a", ttft=9.0, wait=8.0), Kind.OVERLOADED)
+        self.assertIs(self._check(Admission(), "a", ttft=9.0), ErrorKind.DEADLINE)
+        self.assertIs(self._check(Admission(), "a", ttft=9.0, wait=8.0), ErrorKind.OVERLOADED)
 
     def test_a_large_customer_gives_way_while_targets_are_busy(self) -> None:
         admission = Admission()
@@ -154,7 +154,7 @@
             self._check(admission, "large", now=number * 0.01)
         self._check(admission, "small", now=0.6)
         busy = {"ttft": 2.3, "wait": 2.2, "now": 0.7}
-        self.assertIs(self._check(admission, "large", **busy), Kind.OVER_SHARE)
+        self.assertIs(self._check(admission, "large", **busy), ErrorKind.OVER_SHARE)
         self.assertIsNone(self._check(admission, "small", **busy))
 
     def test_alone_nobody_is_over_its_share(self) -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -35,11 +35,11 @@
     def turn(self) -> None:
         number = self.rng.randrange(3)
         lease, now = self.leases[number], self.now + self.skew[number]
-        wish = lease.wish(self.row, now)
+        wish = lease.next_row(self.row, now)
         if wish is not None and self.rng.random() < 0.9:
             self.row = wish
             if self.rng.random() < 0.9:
-                lease.granted(wish, now)
+                lease.confirm(wish, now)
 
     def order(self) -> None:
         number = self.rng.randrange(3)
@@ -87,23 +87,23 @@
             explore(_UncheckedWalk)
 
     def test_without_raising_the_fence_two_holders_share_one(self) -> None:
-        original = Lease.wish
+        original = Lease.next_row
 
         def same_fence(lease: Lease, row: LeaseRow | None, now: float) -> LeaseRow | None:
             wish = original(lease, row, now)
             return wish._replace(fence=1) if wish else None
 
         with (
-            mock.patch.object(Lease, "wish", same_fence),
+            mock.patch.object(Lease, "next_row", same_fence),
             self.assertRaisesRegex(Exception, "two"),
         ):
             explore(LeaseWalk)
 
     def test_validity_counts_from_before_the_renewal_was_sent(self) -> None:
         lease = Lease(duty="d", holder="n")
-        row = lease.wish(None, 100.0)
+        row = lease.next_row(None, 100.0)
         assert row is not None
-        lease.granted(row, 100.0)
+        lease.confirm(row, 100.0)
         self.assertTrue(lease.held(100.0 + LEASE_SECONDS - 0.01))
         self.assertFalse(lease.held(100.0 + LEASE_SECONDS))
 
--- a/tests/test_left_behind.py
+++ b/tests/test_left_behind.py
@@ -17,7 +17,7 @@
 from typing import Any
 from unittest import mock
 
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import TargetRole
 from fielddrift_core.routing import Load
 from fielddrift_core.stream import EventSequencer
@@ -171,7 +171,7 @@
         exchange.runtime.board = board
         choice, stream = SimpleNamespace(target=target), mock.MagicMock()
         with (
-            mock.patch.object(run_filter, "read_head", side_effect=OutsideError("no head")),
+            mock.patch.object(run_filter, "read_head", side_effect=ExternalSystemError("no head")),
             self.assertRaises(TryFailed),
         ):
             run_filter._check_head(exchange, choice, mock.Mock(), stream)  # type: ignore[arg-type]
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -16,7 +16,7 @@
 
 from fielddrift_core.memory import EngineMemory
 from fielddrift_core.prompt import Part
-from fielddrift_core.stream import EventCutter
+from fielddrift_core.stream import EventFramer
 from fielddrift_core.waiting import Line, Waiter
 from fielddrift_node.serving.ports import TargetNews
 from fielddrift_node.web.client import Client, Timeouts, _Connection
@@ -203,17 +203,17 @@
 
     def test_an_event_joined_inside_its_id_is_counted(self) -> None:
         """A run broke off behind 6 bytes of its event; the next run's event came behind them."""
-        cutter = EventCutter()
+        cutter = EventFramer()
         cutter.feed(b"id: 39" + b"id: 39\ndata: token 39\n\n")
         self.assertEqual(cutter.odd, 1)
 
     def test_an_event_joined_inside_its_data_is_counted(self) -> None:
-        cutter = EventCutter()
+        cutter = EventFramer()
         cutter.feed(b"id: 1\ndata: tok" + _event(1))
         self.assertEqual(cutter.odd, 1)
 
     def test_an_event_without_an_id_does_not_hide_a_joined_one(self) -> None:
-        cutter = EventCutter()
+        cutter = EventFramer()
         cutter.feed(b"data: x\n\n" + _event(1)[:-1] + _event(2))
         self.assertEqual(cutter.odd, 1)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from fielddrift_core.entry import SPREAD, audience, order
+from fielddrift_core.entry import SPREAD_NODE_COUNT, audience, order
 from fielddrift_core.membership import (
     SUSPECT_SECONDS,
     UPDATES_A_MESSAGE,
@@ -103,9 +103,9 @@
     def test_entry_sends_a_models_callers_to_the_same_nodes(self) -> None:
         members = [member(n) for n in range(1, 41, 2)]
         first = {
-            order(members, data_centre="dc-a", model="m", turn=n).addresses[0] for n in range(9)
+            order(members, data_centre="dc-a", model="m", rotation=n).addresses[0] for n in range(9)
         }
-        self.assertEqual(len(first), SPREAD)
+        self.assertEqual(len(first), SPREAD_NODE_COUNT)
         told = {member.http for member in audience(members, model="m")}
         self.assertEqual(first, told)
         others = {order(members, data_centre="dc-a", model=f"m{n}").addresses[0] for n in range(50)}
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -4,18 +4,18 @@
 
 import unittest
 
-from fielddrift_core.names import BLOCK_BYTES, chain, prefix_name, rank
+from fielddrift_core.names import BLOCK_BYTES, chained_digests, prefix_name, rank
 
 TEXT = b"x" * (3 * BLOCK_BYTES + 5)
 
 
 class NamesTest(unittest.TestCase):
     def test_the_same_text_in_two_customers_has_two_names(self) -> None:
-        one, two = chain(TEXT, salt="a"), chain(TEXT, salt="b")
+        one, two = chained_digests(TEXT, salt="a"), chained_digests(TEXT, salt="b")
         self.assertFalse(set(one) & set(two))
 
     def test_versions_have_names_of_their_own(self) -> None:
-        digests = chain(TEXT, salt="a")
+        digests = chained_digests(TEXT, salt="a")
         names = [
             prefix_name(customer="c", model="m", version=v, digests=digests, blocks=3)
             for v in ("v1", "v2")
@@ -25,16 +25,22 @@
 
     def test_a_digest_covers_all_text_before_it(self) -> None:
         changed = b"y" + TEXT[1:]
-        self.assertNotEqual(chain(TEXT, salt="a")[2], chain(changed, salt="a")[2])
+        self.assertNotEqual(
+            chained_digests(TEXT, salt="a")[2], chained_digests(changed, salt="a")[2]
+        )
 
     def test_a_block_that_is_not_full_has_no_name(self) -> None:
-        self.assertEqual(len(chain(TEXT, salt="a")), 3)
-        self.assertEqual(chain(b"short", salt="a"), [])
+        self.assertEqual(len(chained_digests(TEXT, salt="a")), 3)
+        self.assertEqual(chained_digests(b"short", salt="a"), [])
 
     def test_more_blocks_than_the_prompt_has_are_refused(self) -> None:
         with self.assertRaisesRegex(ValueError, "4, expected 1 to 3"):
             prefix_name(
-                customer="c", model="m", version="v", digests=chain(TEXT, salt="a"), blocks=4
+                customer="c",
+                model="m",
+                version="v",
+                digests=chained_digests(TEXT, salt="a"),
+                blocks=4,
             )
 
     def test_a_lost_store_host_moves_only_its_own_prefixes(self) -> None:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -12,7 +12,7 @@
 import unittest
 from pathlib import Path
 
-from fielddrift_core.catalog import Repeat, Transport
+from fielddrift_core.catalog import AnswerFormat, RepeatPolicy
 from fielddrift_core.target_notices import TargetNotice
 from fielddrift_core.target_registry import Instance
 from fielddrift_node.log import LineSink
@@ -135,11 +135,11 @@
             )
         )
         catalog = decode_catalog(f'{{"version":3,"routes":[{routes}],"services":[]}}'.encode())
-        found = {r.name: (r.transport, r.repeat) for r in catalog.routes["h"]}
-        self.assertEqual(found["safe0"], (Transport.WHOLE, Repeat.FREELY))
-        self.assertEqual(found["unsafe1"], (Transport.WHOLE, Repeat.ONCE))
-        self.assertEqual(found["streaming2"], (Transport.EVENTS, Repeat.FREELY))
-        self.assertEqual(found["streaming3"], (Transport.EVENTS, Repeat.ONCE))
+        found = {r.name: (r.answer_format, r.repeat_policy) for r in catalog.routes["h"]}
+        self.assertEqual(found["safe0"], (AnswerFormat.WHOLE, RepeatPolicy.FREELY))
+        self.assertEqual(found["unsafe1"], (AnswerFormat.WHOLE, RepeatPolicy.ONCE))
+        self.assertEqual(found["streaming2"], (AnswerFormat.EVENTS, RepeatPolicy.FREELY))
+        self.assertEqual(found["streaming3"], (AnswerFormat.EVENTS, RepeatPolicy.ONCE))
 
     def test_the_longest_prefix_is_the_route(self) -> None:
         routes = ",".join(
--- a/tests/test_platform_decisions.py
+++ b/tests/test_platform_decisions.py
@@ -10,7 +10,7 @@
 from fielddrift_core.overload import come_back, is_crowded
 from fielddrift_core.prompt import Part
 from fielddrift_core.retries import WindowBudget
-from fielddrift_core.stream import EventCutter
+from fielddrift_core.stream import EventFramer
 from fielddrift_core.target_registry import RESPITE_SECONDS, Instance, TargetRegistry
 from fielddrift_core.workload import Burden, Lateness, TargetHealth, Workload
 from hypothesis import given, settings
@@ -150,7 +150,7 @@
     ) -> None:
         rng = random.Random(seed)
         events = [f"id: {n * 3}\ndata: token {n}\n\n".encode() for n in range(1, count + 1)]
-        cutter, out, position = EventCutter(), b"", 0
+        cutter, out, position = EventFramer(), b"", 0
         while position < count:
             data = b"".join(events[position:])
             data = data[: rng.randint(1, len(data))]
@@ -158,7 +158,7 @@
                 size = rng.randint(1, len(data))
                 out += cutter.feed(data[:size])
                 data = data[size:]
-            cutter = EventCutter(after=cutter.last)
+            cutter = EventFramer(after=cutter.last)
             position = int(cutter.last or 0) // 3
             # A target may send some events again that came before.
             if position < count and rng.random() < 0.5:
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -10,7 +10,7 @@
 import time
 import unittest
 
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_node.http_client import Call, HttpClient
 from fielddrift_standins.check import problem
 from fielddrift_standins.fetch import Fetched, fetch_json
@@ -231,20 +231,20 @@
     def test_a_cut_at_any_byte_is_never_sure(self) -> None:
         for cut in range(170):
             self.cutter.read = cut
-            with self.assertRaises(OutsideError) as raised:
+            with self.assertRaises(ExternalSystemError) as raised:
                 self.client.request(self._call(self.cutter.address))
-            self.assertFalse(raised.exception.sure, f"cut after {cut} bytes")
+            self.assertFalse(raised.exception.no_effect, f"cut after {cut} bytes")
 
     def test_a_refused_connection_is_sure(self) -> None:
         address = self.cutter.address
         self.cutter.close()
-        with self.assertRaises(OutsideError) as raised:
+        with self.assertRaises(ExternalSystemError) as raised:
             self.client.request(self._call(address))
-        self.assertTrue(raised.exception.sure)
+        self.assertTrue(raised.exception.no_effect)
 
     def test_the_client_never_sends_a_call_again_by_itself(self) -> None:
         self.cutter.read = 20
-        with self.assertRaises(OutsideError):
+        with self.assertRaises(ExternalSystemError):
             self.client.request(self._call(self.cutter.address))
         self.assertEqual(self.cutter.connections, 1)
 
@@ -287,7 +287,7 @@
         call = Call("POST", f"http://{self.address}/", b"", timeout=2.0)
         self.client.request(call)
         before = self.requests
-        with contextlib.suppress(OutsideError):
+        with contextlib.suppress(ExternalSystemError):
             self.client.request(call._replace(fresh=fresh))
         return self.requests - before
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from fielddrift_core.commands import CreateTarget, Rejected, SetHold, apply
-from fielddrift_core.errors import ANSWERS, Kind
-from fielddrift_core.grammar import Condition, Fresh, Query, parse
+from fielddrift_core.errors import ERROR_RESPONSES, ErrorKind
+from fielddrift_core.grammar import Condition, GeneratedSecrets, Query, parse
 from fielddrift_core.model import Configuration
 from fielddrift_node.metrics import METRICS, Metrics
 from fielddrift_node.settings import SettingsError, load
@@ -25,7 +25,7 @@
     "platform": {"table": "127.0.0.1:1", "objects": "127.0.0.1:1", "hosts": "127.0.0.1:2"},
     "keys": {"operators": {"anna": "0" * 64}, "peer": "x" * 20},
 }
-FRESH = Fresh("key", "salt")
+FRESH = GeneratedSecrets("key", "salt")
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
@@ -131,7 +131,7 @@
             configuration = Configuration()
             for line in file.read_text().splitlines():
                 if line.strip() and not line.startswith("#"):
-                    command = parse(line, fresh=Fresh(line, "s"))
+                    command = parse(line, fresh=GeneratedSecrets(line, "s"))
                     assert not isinstance(command, Query)
                     configuration = apply(configuration, command)
             self.assertTrue(configuration.customers, file.name)
@@ -170,7 +170,7 @@
 
 class TablesTest(unittest.TestCase):
     def test_every_error_kind_has_its_answer(self) -> None:
-        self.assertEqual(set(ANSWERS), set(Kind))
+        self.assertEqual(set(ERROR_RESPONSES), set(ErrorKind))
 
     def test_every_metric_is_in_the_docs_and_none_besides(self) -> None:
         text = (ROOT / "docs" / "METRICS.md").read_text()
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -9,7 +9,7 @@
 import threading
 import unittest
 
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_node.http_client import Call, HttpClient
 
 WAIT_SECONDS = 20.0
@@ -47,12 +47,12 @@
 
     def test_a_call_under_way_ends_when_the_client_closes(self) -> None:
         client = HttpClient()
-        errors: list[OutsideError] = []
+        errors: list[ExternalSystemError] = []
 
         def ask() -> None:
             try:
                 client.request(self.call)
-            except OutsideError as error:
+            except ExternalSystemError as error:
                 errors.append(error)
 
         asking = threading.Thread(target=ask, daemon=True)
@@ -67,6 +67,6 @@
         client = HttpClient()
         client.close()
         stream = client.stream(self.call)
-        with self.assertRaises(OutsideError) as caught:
+        with self.assertRaises(ExternalSystemError) as caught:
             stream.head.result(timeout=WAIT_SECONDS)
-        self.assertTrue(caught.exception.sure)
+        self.assertTrue(caught.exception.no_effect)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from fielddrift_core.interfaces import OutsideError
+from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.stream import EventSequencer, StreamError
 from fielddrift_node.filters import run
 from fielddrift_node.metrics import Metrics
@@ -122,7 +122,7 @@
 
     def __iter__(self) -> Iterator[bytes]:
         yield self._data
-        raise OutsideError("reset")
+        raise ExternalSystemError("reset")
 
     def close(self) -> None:
         """Nothing is open."""
