--- a/bench/lab/switches.py
+++ b/bench/lab/switches.py
@@ -73,13 +73,13 @@
 @_switch("reading")
 def _reading() -> Sequence[Any]:
     """Send on whatever an engine has to read."""
-    return [mock.patch.object(placement, "_READING_ROOM_SECONDS", float("inf"))]
+    return [mock.patch.object(placement, "_MAX_PREFILL_QUEUE_SECONDS", float("inf"))]
 
 
 @_switch("failing")
 def _failing() -> Sequence[Any]:
     """Take an engine that fails for an empty one."""
-    return [mock.patch.object(placement, "FAILING_SHARE", float("inf"))]
+    return [mock.patch.object(placement, "FAILING_RATE", float("inf"))]
 
 
 @contextmanager
--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -1,10 +1,10 @@
-"""Choose the target of a request, and from where its kept parts come.
+"""Choose the target of a request and the sources of its cached prompt parts.
 
-For each engine the seconds to the first event are estimated from what is
-known to be there, from the parts that must be read, and from those that can
-be fetched.  What a choice costs is summed in parts of an answer's worth: that
-the answer comes late, tokens read although they are kept, bytes between data
-centres, weights that are no longer the newest.
+For each engine the time to the first event is estimated from the work it is known to
+have, the tokens it must prefill, and the parts that it can fetch from stores.  The cost
+of a choice is a weighted sum relative to the value of one response: the risk of a late
+response, tokens prefilled although a store keeps them, bytes moved between data centres,
+and outdated weights.
 """
 
 from __future__ import annotations
@@ -20,144 +20,150 @@
 from .workload import Burden
 
 __all__ = [
-    "READ_RATE",
+    "PREFILL_TOKENS_PER_SECOND",
+    "CostWeights",
     "EngineChoice",
-    "EngineSight",
+    "EngineState",
+    "FetchPlan",
     "Holder",
-    "PlainSight",
-    "Prices",
-    "Recall",
+    "PlainTargetState",
+    "can_prefill_soon",
     "choose_engine",
-    "choose_plain",
+    "choose_plain_target",
     "has_room",
-    "move_seconds",
-    "reads_soon",
-    "recall",
+    "plan_fetch",
+    "transfer_seconds",
 ]
 
-READ_RATE = 50_000.0
-"""Prompt tokens an engine reads a second; the users' sheet says 56,900."""
+PREFILL_TOKENS_PER_SECOND = 50_000.0
+"""Prefill rate of an engine; the users' data sheet gives 56,900."""
 _BASE_SECONDS = 0.02
-"""What every run waits for its first event: the engine's set-up and first step."""
-_RUN_SECONDS = 0.0015
-"""What each run at an engine adds to the wait of others for their first event:
-a step of some 3 ms grows by about 0.1 ms a run, and a read waits for some steps."""
-_FETCH_MARGIN = 1.3
-"""A fetch is taken to last so much longer than its link alone would need."""
-_FAR_LINK_FACTOR = 2.0
-"""Moves between data centres take twice as long."""
+"""Part of the time to the first event that every run has: engine set-up and first step."""
+_PER_RUN_DELAY_SECONDS = 0.0015
+"""Delay that each run at an engine adds to the first events of others: a step of some 3 ms
+grows by about 0.1 ms per run, and a prefill waits for several steps."""
+_FETCH_TIME_FACTOR = 1.3
+"""Ratio of the expected duration of a fetch to its transfer time on an idle link."""
+_REMOTE_LINK_FACTOR = 2.0
+"""Transfers between data centres take twice as long."""
 _LOADING_COST = 20.0
-"""An engine that is loading weights is used only when there is no other."""
+"""Cost of an engine that is loading weights; high enough to use it only if there is no other."""
 _TURNOVER_SECONDS = 0.4
-"""Time in which the runs that fill an engine's memory make way for others: a long
-prompt is read in 0.2 s and its few tokens are made in as much."""
-_MEAN_READ_TOKENS = 4000
-"""Tokens that a run has to read in the mean, for the number that wait at an engine."""
-_MEAN_MOVE_SECONDS = 0.03
-"""How long a large part takes a link in the mean, for the moves that wait for it."""
+"""Time in which the runs that fill an engine's memory are replaced by others: a long prompt
+is prefilled in 0.2 s, and its few output tokens take about as long."""
+_MEAN_PREFILL_TOKENS = 4000
+"""Mean tokens to prefill per run; used to estimate how many runs wait at an engine."""
+_MEAN_TRANSFER_SECONDS = 0.03
+"""Mean link time of a large part; used to estimate how many transfers wait for a link."""
 LONG_ANSWER_TOKENS = 40
-"""Tokens from which an answer counts as long: it takes over a second at some 30 ms each."""
-_READING_ROOM_SECONDS = 0.2
-"""Reading that an engine is sent ahead for less urgent prompts: longer than the news of a first
-event takes, so that it does not rest, and short enough for urgent prompts that come then."""
-FAILING_SHARE = 0.2
-"""Share of failures from which an engine counts as not working, the first failure of some
-included: one that is gone holds nothing, and would draw everyone who waits for room."""
-_LATE_FROM = 0.75
-_LATE_TO = 1.25
-"""Estimates between these parts of the aim grow from surely in time to surely late."""
-
-
-class Prices(NamedTuple):
-    """What matters beside time, each as a part of what an answer in time is worth.
-
-    From the users' sheets: an answer that is `late` loses four fifths; reading
-    a thousand kept tokens `again` costs about 0.37 credits of a long prompt's
-    2.6; the bytes of a long prompt to a `far` data centre cost a twentieth; an
-    answer on `old` weights loses a fifth.  `time` prefers the quicker of two
-    that are both in time, `failure` those whose answers did not fail.  A long
-    answer at an engine that loads `soon` keeps it from loading for a second or two,
-    as long as some other engine is out of service.
+"""Output tokens from which a response counts as long: over a second at some 30 ms each."""
+_MAX_PREFILL_QUEUE_SECONDS = 0.2
+"""Prefill work up to which an engine is sent less urgent prompts.  It is longer than the
+report of a first event takes to arrive, so that the engine does not idle, and short enough
+for urgent prompts that arrive meanwhile."""
+FAILING_RATE = 0.2
+"""Failure rate from which an engine counts as failing; a single recent failure reaches it.
+An engine that is gone has no load and would otherwise attract every waiting prompt."""
+_LATE_RAMP_START = 0.75
+_LATE_RAMP_END = 1.25
+"""The probability of a late response rises from 0 to 1 between these ratios of the estimate
+to the aim."""
+
+
+class CostWeights(NamedTuple):
+    """Weights of the cost terms, relative to the value of a response in time.
+
+    They follow the users' data sheets: a `late` response loses four fifths of its value;
+    prefilling a thousand tokens that a store keeps (`recomputed`) costs about 0.37 of the
+    2.6 credits of a long prompt; moving the bytes of a long prompt to a `remote` data
+    centre costs a twentieth; a response on `outdated` weights loses a fifth.  `time`
+    prefers the faster of two engines that are both in time, `failure` engines without
+    recent failures.  `loads_next` applies to a long response at an engine that is about to
+    load weights: it delays the load by a second or two, and while that load is outstanding
+    some other engine is out of service.
     """
 
     late: float = 0.8
-    again: float = 0.14
-    far: float = 0.05
-    old: float = 0.2
-    soon: float = 0.25
+    recomputed: float = 0.14
+    remote: float = 0.05
+    outdated: float = 0.2
+    loads_next: float = 0.25
     time: float = 0.3
     failure: float = 2.0
 
 
 class Holder(NamedTuple):
-    """A store that keeps a part, and the seconds until its link is free for a fetch."""
+    """A store that keeps a part; `wait` is the seconds until its link is free for a fetch."""
 
     store: StoreTraits
     wait: float = 0.0
 
 
-class Recall(NamedTuple):
-    """Which kept parts a run fetches, and what it then must read itself.
+class FetchPlan(NamedTuple):
+    """Which stored parts a run fetches, and how many tokens it then has to prefill.
 
-    `sources` has one store a part, None where the part is read; `again` counts
-    the tokens that are read although a store keeps them.  `delays` is how many
-    seconds the fetches add up to for other moves that wait for the same links.
+    `sources` has one entry per part: the store to fetch from, or None if the part is not
+    fetched.  `unread` counts the tokens to prefill, `recomputed` those of them that some
+    store keeps.  `delay_seconds` is the sum of the delays that the fetches cause to other
+    transfers on the same links.
     """
 
     sources: tuple[StoreTraits | None, ...]
     unread: int
     fetch_seconds: float
-    again: int = 0
-    delays: float = 0.0
+    recomputed: int = 0
+    delay_seconds: float = 0.0
 
 
 class EngineChoice(NamedTuple):
-    """An engine, and what its run fetches; `seconds` to the first event, estimated.
+    """An engine with the fetch plan of the run; `seconds` is the estimated time to first event.
 
-    `work` is the engine's part of them at the usual pace, `pace` how much longer this one takes.
+    `work` is the engine's share of `seconds` at the usual speed, without fetches;
+    `slowdown` is the ratio of this engine's time to the usual one.
     """
 
     instance: Instance
-    recall: Recall
+    fetch_plan: FetchPlan
     seconds: float
     cost: float
     burden: Burden = Burden()
     work: float = 0.0
-    pace: float = 1.0
+    slowdown: float = 1.0
 
-    def reading(self, tokens: int) -> float:
-        """Return the seconds in which the engine reads `tokens`."""
-        return tokens / READ_RATE * self.pace
+    def prefill_seconds(self, tokens: int) -> float:
+        """Return the seconds that the engine takes to prefill `tokens`."""
+        return tokens / PREFILL_TOKENS_PER_SECOND * self.slowdown
 
 
-class EngineSight(NamedTuple):
+class EngineState(NamedTuple):
     """What is known of one engine when a request is placed.
 
-    `behind` says that newer weights than its own were named, `loading` that
-    it is changing them, `soon` that it does so next.  `left` is the seconds in which a first
-    event must come from it.  `memory` are ids of parts that it was sent lately and so
-    probably still has.  `weights` is the version that it has, `pace` how long it takes in parts
-    of what a usual one does.
+    `failures` is its recent failure rate, from 0 to 1.  `is_outdated` says that newer
+    weights than its own have been named, `loading` that it is loading weights, `loads_next`
+    that it is among the next to load.  `left` is the seconds within which a first event must
+    come from it.  `memory` holds the ids of parts that it was sent recently and probably
+    still caches.  `weights` is the version that it has, `slowdown` the ratio of its time to
+    that of a usual engine.
     """
 
     instance: Instance
     burden: Burden
     failures: float
-    behind: bool
+    is_outdated: bool
     loading: bool
     memory: Collection[str] = ()
-    soon: bool = False
+    loads_next: bool = False
     left: float = float("inf")
     weights: int = 0
-    pace: float = 1.0
+    slowdown: float = 1.0
 
 
-_PRICES = Prices()
+_COST_WEIGHTS = CostWeights()
 
-Holders = Callable[[EngineSight, Part], Sequence[Holder]]
+HolderLookup = Callable[[EngineState, Part], Sequence[Holder]]
 
 
-def recall(
+def plan_fetch(
     prompt: Prompt,
     *,
     traits: EngineTraits,
@@ -165,162 +171,178 @@
     holders: Callable[[Part], Sequence[Holder]],
     memory: Collection[str] = (),
     fetching: bool = True,
-) -> Recall:
+) -> FetchPlan:
     """Return what to fetch for `prompt` at an engine in `data_centre`.
 
-    Only parts from the first on without a gap are of use: a part behind one
-    that is read must be read too, for the engine keeps them in order.
+    Only a contiguous run of parts from the first one can be reused, since an engine's cache
+    is a prefix cache: every part after one that is prefilled must be prefilled too.
+    `memory` holds the ids of parts that the engine probably still caches.  Without
+    `fetching` nothing is fetched.
     """
     sources: list[StoreTraits | None] = []
     seconds = 0.0
     delays = 0.0
     ready = 0
-    again = 0
+    recomputed = 0
     gap = False
     for part in prompt.shared:
-        best = None if gap else _quickest(holders(part), part, traits, data_centre)
+        best = None if gap else _fastest_fetch(holders(part), part, traits, data_centre)
         if not gap and part.id in memory:
             sources.append(best.store if best is not None and fetching else None)
             ready += part.tokens
         elif best is not None and fetching:
             sources.append(best.store)
             seconds += best.seconds
-            delays += best.delays
+            delays += best.delay_seconds
             ready += part.tokens
         else:
-            again += part.tokens if gap or best is not None else 0
+            recomputed += part.tokens if gap or best is not None else 0
             gap = True
     sources += [None] * (len(prompt.parts) - len(sources))
-    return Recall(tuple(sources), max(0, prompt.tokens_in - ready), seconds, again, delays)
+    return FetchPlan(tuple(sources), max(0, prompt.tokens_in - ready), seconds, recomputed, delays)
 
 
-def move_seconds(
+def transfer_seconds(
     tokens: int, store: StoreTraits, *, traits: EngineTraits, data_centre: str
 ) -> float:
-    """Return how long a move between a store and an engine in `data_centre` takes the link."""
+    """Return the seconds of link time that moving `tokens` takes.
+
+    The transfer is between `store` and an engine in `data_centre`.
+    """
     rate = min(store.link_rate, traits.link_rate) or store.link_rate
     seconds = tokens * traits.token_bytes / rate
-    return seconds if store.data_centre == data_centre else seconds * _FAR_LINK_FACTOR
+    return seconds if store.data_centre == data_centre else seconds * _REMOTE_LINK_FACTOR
 
 
 class _Fetch(NamedTuple):
     store: StoreTraits
     seconds: float
-    delays: float
+    delay_seconds: float
 
 
-def _quickest(
+def _fastest_fetch(
     holders: Sequence[Holder], part: Part, traits: EngineTraits, data_centre: str
 ) -> _Fetch | None:
     best: _Fetch | None = None
     for store, wait in holders:
-        moving = move_seconds(part.tokens, store, traits=traits, data_centre=data_centre)
-        needed = moving * _FETCH_MARGIN + store.first_byte_delay + wait
+        link_seconds = transfer_seconds(part.tokens, store, traits=traits, data_centre=data_centre)
+        needed = link_seconds * _FETCH_TIME_FACTOR + store.first_byte_delay + wait
         if best is None or needed < best.seconds:
-            best = _Fetch(store, needed, moving * wait / _MEAN_MOVE_SECONDS)
+            best = _Fetch(store, needed, link_seconds * wait / _MEAN_TRANSFER_SECONDS)
     return best
 
 
 def choose_engine(
     prompt: Prompt,
-    sights: Iterable[EngineSight],
+    engines: Iterable[EngineState],
     *,
     traits: EngineTraits,
     data_centre: str,
     aim: float,
-    holders: Holders,
-    prices: Prices = _PRICES,
-    room_part: float | None = None,
+    holders: HolderLookup,
+    cost_weights: CostWeights = _COST_WEIGHTS,
+    memory_fraction: float | None = None,
 ) -> EngineChoice | None:
-    """Return the cheapest engine for `prompt`, None when there is none in time.
+    """Return the cheapest engine for `prompt`, or None if none can begin in time.
 
-    `aim` is the seconds in which the first event should come.  With `room_part`
-    only engines count that have room for the prompt in that part of their memory, and
-    none that does not work while another does.
+    `aim` is the target for the time to the first event, in seconds.  With
+    `memory_fraction`, only engines count that have room for the prompt within that fraction
+    of their memory; engines that are loading or failing count only if all of them are.
     """
     best: EngineChoice | None = None
-    if room_part is not None:
-        sights = _fitting(list(sights), prompt, traits, room_part)
-    for sight in sights:
+    if memory_fraction is not None:
+        engines = _with_room(list(engines), prompt, traits, memory_fraction)
+    for engine in engines:
         for fetching in (True, False):
-            recalled = recall(
+            plan = plan_fetch(
                 prompt,
                 traits=traits,
-                data_centre=sight.instance.data_centre,
-                holders=partial(holders, sight),
-                memory=sight.memory,
+                data_centre=engine.instance.data_centre,
+                holders=partial(holders, engine),
+                memory=engine.memory,
                 fetching=fetching,
             )
-            choice = _priced(sight, recalled, prompt, traits, data_centre, aim, prices)
-            in_time = choice.seconds <= sight.left
+            choice = _evaluate(engine, plan, prompt, traits, data_centre, aim, cost_weights)
+            in_time = choice.seconds <= engine.left
             if in_time and (best is None or choice.cost < best.cost):
                 best = choice
-            if not any(recalled.sources):
-                # Nothing to fetch: reading everything is the same choice.
+            if not any(plan.sources):
+                # Nothing to fetch: the plan without fetching is the same.
                 break
     return best
 
 
-def _fitting(
-    sights: Sequence[EngineSight], prompt: Prompt, traits: EngineTraits, part: float
-) -> list[EngineSight]:
-    working = [s for s in sights if not s.loading and s.failures < FAILING_SHARE]
-    return [s for s in working or sights if has_room(s.burden, prompt, traits, part)]
+def _with_room(
+    engines: Sequence[EngineState], prompt: Prompt, traits: EngineTraits, part: float
+) -> list[EngineState]:
+    working = [e for e in engines if not e.loading and e.failures < FAILING_RATE]
+    return [e for e in working or engines if has_room(e.burden, prompt, traits, part)]
 
 
 def has_room(burden: Burden, prompt: Prompt, traits: EngineTraits, part: float) -> bool:
-    """Return whether `part` of an engine's memory holds `prompt` beside what is there.
+    """Return whether `prompt` fits into the fraction `part` of an engine's memory.
 
-    An idle engine takes any prompt; an engine of unknown memory too.
+    `burden` is what the engine already has.  An idle engine, or one whose memory size is
+    unknown, takes any prompt.
     """
     if not traits.memory or not burden.memory:
         return True
     return burden.memory + prompt.tokens <= part * traits.memory
 
 
-def reads_soon(burden: Burden, pace: float) -> bool:
-    """Return whether an engine begins to read soon what it is sent now."""
-    return burden.unread / READ_RATE * pace <= _READING_ROOM_SECONDS
+def can_prefill_soon(burden: Burden, slowdown: float) -> bool:
+    """Return whether an engine with `burden` would soon begin to prefill a new prompt."""
+    return burden.unread / PREFILL_TOKENS_PER_SECOND * slowdown <= _MAX_PREFILL_QUEUE_SECONDS
 
 
-def _priced(
-    sight: EngineSight,
-    recalled: Recall,
+def _evaluate(
+    engine: EngineState,
+    plan: FetchPlan,
     prompt: Prompt,
     traits: EngineTraits,
     data_centre: str,
     aim: float,
-    prices: Prices,
+    cost_weights: CostWeights,
 ) -> EngineChoice:
-    burden = sight.burden
-    reading = (burden.unread + recalled.unread) / READ_RATE
-    waiting = max(0, burden.running + 1 - traits.slots) * _RUN_SECONDS * 10
+    burden = engine.burden
+    prefill = (burden.unread + plan.unread) / PREFILL_TOKENS_PER_SECOND
+    waiting = max(0, burden.running + 1 - traits.slots) * _PER_RUN_DELAY_SECONDS * 10
     if traits.memory:
         overfull = max(0, burden.memory + prompt.tokens - traits.memory)
         waiting += overfull / traits.memory * _TURNOVER_SECONDS
-    work = _BASE_SECONDS + reading + burden.running * _RUN_SECONDS + waiting
-    seconds = work * sight.pace + recalled.fetch_seconds
-    cost = prices.late * _lateness(seconds / aim) + prices.time * seconds / aim
-    cost += prices.again * recalled.again / 1000
-    # What this run reads and moves delays the others that wait there.
-    waiting_runs = burden.unread / _MEAN_READ_TOKENS
-    delays = recalled.unread / READ_RATE * sight.pace * waiting_runs + recalled.delays
-    cost += prices.late * delays / aim
-    cost += prices.failure * sight.failures
-    cost += prices.far if sight.instance.data_centre != data_centre else 0.0
-    cost += prices.old if sight.behind else 0.0
-    cost += prices.soon if sight.soon and prompt.tokens_out >= LONG_ANSWER_TOKENS else 0.0
-    cost += _LOADING_COST if sight.loading else 0.0
-    return EngineChoice(sight.instance, recalled, seconds, cost, burden, work, sight.pace)
-
-
-def _lateness(part: float) -> float:
-    """Return how sure it is that an estimate of `part` of the aim ends late."""
-    return min(1.0, max(0.0, (part - _LATE_FROM) / (_LATE_TO - _LATE_FROM)))
-
-
-class PlainSight(NamedTuple):
-    """What is known of one plain target when a request is placed."""
+    work = _BASE_SECONDS + prefill + burden.running * _PER_RUN_DELAY_SECONDS + waiting
+    seconds = work * engine.slowdown + plan.fetch_seconds
+    cost = cost_weights.late * _late_probability(seconds / aim) + cost_weights.time * seconds / aim
+    cost += cost_weights.recomputed * plan.recomputed / 1000
+    # The prefill and the transfers of this run delay the others that wait for them.
+    waiting_runs = burden.unread / _MEAN_PREFILL_TOKENS
+    delays = (
+        plan.unread / PREFILL_TOKENS_PER_SECOND * engine.slowdown * waiting_runs
+        + plan.delay_seconds
+    )
+    cost += cost_weights.late * delays / aim
+    cost += cost_weights.failure * engine.failures
+    cost += cost_weights.remote if engine.instance.data_centre != data_centre else 0.0
+    cost += cost_weights.outdated if engine.is_outdated else 0.0
+    cost += (
+        cost_weights.loads_next
+        if engine.loads_next and prompt.tokens_out >= LONG_ANSWER_TOKENS
+        else 0.0
+    )
+    cost += _LOADING_COST if engine.loading else 0.0
+    return EngineChoice(engine.instance, plan, seconds, cost, burden, work, engine.slowdown)
+
+
+def _late_probability(part: float) -> float:
+    """Return the probability that a response is late whose estimate is `part` times the aim."""
+    return min(1.0, max(0.0, (part - _LATE_RAMP_START) / (_LATE_RAMP_END - _LATE_RAMP_START)))
+
+
+class PlainTargetState(NamedTuple):
+    """What is known of one plain target when a request is placed.
+
+    `failures` is its recent failure rate, from 0 to 1.
+    """
 
     instance: Instance
     burden: Burden
@@ -328,31 +350,34 @@
 
 
 _PLAIN_WORK_SECONDS = 0.045
-"""Work of a plain request on the users' sheets, less than its aim by a few times."""
-_PLAIN_FAR_SECONDS = 0.01
-"""Price of a plain target in another data centre: its requests are short."""
+"""Work of a plain request by the users' data sheets; its aim is a few times longer."""
+_PLAIN_REMOTE_SECONDS = 0.01
+"""Cost of a plain target in another data centre; low, since its requests are short."""
 _PLAIN_FAILURE_SECONDS = 2.0
-"""Price of a plain target all of whose recent answers failed."""
+"""Cost of a plain target whose recent responses all failed."""
 
 
-def choose_plain(
-    sights: Sequence[PlainSight],
+def choose_plain_target(
+    targets: Sequence[PlainTargetState],
     *,
     data_centre: str,
     tried: Collection[str],
     rng: random.Random,
 ) -> Instance | None:
-    """Return the plain target with the least expected time, None when there is none."""
+    """Return the plain target with the least expected time, or None if all were `tried`.
+
+    Ties are broken at random.
+    """
     best: tuple[float, float, Instance] | None = None
-    for sight in sights:
-        if sight.instance.name in tried:
+    for target in targets:
+        if target.instance.name in tried:
             continue
-        slots = max(1, sight.instance.slots)
-        cost = (sight.burden.running + 1) / slots * _PLAIN_WORK_SECONDS
-        cost += sight.failures * _PLAIN_FAILURE_SECONDS
-        if sight.instance.data_centre != data_centre:
-            cost += _PLAIN_FAR_SECONDS
-        entry = (cost, rng.random(), sight.instance)
+        slots = max(1, target.instance.slots)
+        cost = (target.burden.running + 1) / slots * _PLAIN_WORK_SECONDS
+        cost += target.failures * _PLAIN_FAILURE_SECONDS
+        if target.instance.data_centre != data_centre:
+            cost += _PLAIN_REMOTE_SECONDS
+        entry = (cost, rng.random(), target.instance)
         if best is None or entry[:2] < best[:2]:
             best = entry
     return None if best is None else best[2]
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 import structlog
-from fielddrift_core.placement import EngineChoice, move_seconds
+from fielddrift_core.placement import EngineChoice, transfer_seconds
 from fielddrift_core.stream import EventFramer, first_event_id
 from fielddrift_core.urgency import urgency
 
@@ -334,7 +334,7 @@
         views = self._tools.views
         engine = choice.instance
         now = asyncio.get_running_loop().time()
-        views.workload.begin(engine.name, call.trace.key, choice.recall.unread, prompt.tokens)
+        views.workload.begin(engine.name, call.trace.key, choice.fetch_plan.unread, prompt.tokens)
         held = views.memory.parts(engine.name, send.salt)
         tokens = self._tools.metrics.tokens
         for part, source, save in zip(
@@ -345,7 +345,7 @@
             view = views.store_index.view(source or save)
             if view is None or (source and part.id in held):
                 continue
-            seconds = move_seconds(
+            seconds = transfer_seconds(
                 part.tokens, view.traits, traits=traits, data_centre=engine.data_centre
             )
             views.links.add(view.traits.address, seconds, now)
@@ -377,11 +377,11 @@
             call.service.name,
             choice.instance.name,
             estimate=choice.work,
-            seconds=taken - choice.recall.fetch_seconds,
+            seconds=taken - choice.fetch_plan.fetch_seconds,
         )
         late = taken - choice.seconds
         self._tools.metrics.estimate_error.observe(max(0.0, late))
-        for store in {s.address for s in choice.recall.sources if s is not None}:
+        for store in {s.address for s in choice.fetch_plan.sources if s is not None}:
             views.lateness.came(store, late, now)
 
     # --- learning -------------------------------------------------------------
--- a/packages/node/src/fielddrift_node/serving/kept.py
+++ b/packages/node/src/fielddrift_node/serving/kept.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Collection, Mapping
 
-from fielddrift_core.placement import EngineChoice, EngineSight, Holder
+from fielddrift_core.placement import EngineChoice, EngineState, Holder
 from fielddrift_core.prompt import Part, Prompt
 
 from .call import Call
@@ -49,7 +49,7 @@
             self._salts[weights] = salt_of(self._model, weights, self._isolated)
         return self._salts[weights]
 
-    def holders(self, sight: EngineSight, part: Part) -> list[Holder]:
+    def holders(self, sight: EngineState, part: Part) -> list[Holder]:
         """Return the stores that keep `part` for an engine, each with the wait for its link."""
         salt = self.salt(sight.weights)
         found = self._holders.get((salt, part))
@@ -90,7 +90,7 @@
         prompt = call.ask.prompt
         assert prompt is not None
         now = asyncio.get_running_loop().time()
-        sources = tuple("" if s is None else s.address for s in choice.recall.sources)
+        sources = tuple("" if s is None else s.address for s in choice.fetch_plan.sources)
         saves = self._saves(prompt, salt, sources, choice.instance.data_centre, now)
         memory = self._views.memory.parts(choice.instance.name, salt)
         call.trace.parts = [
@@ -120,9 +120,11 @@
         """Return when a fetch should be given up, so that reading can still be in time."""
         prompt = call.ask.prompt
         assert prompt is not None
-        reading = choice.reading(prompt.tokens_in + choice.burden.unread)
+        reading = choice.prefill_seconds(prompt.tokens_in + choice.burden.unread)
         spare = call.began + call.route.latency_goal - reading - _READ_SPARE_SECONDS - now
-        patience = max(spare, _LEAST_FETCH_SECONDS, _FETCH_ESTIMATES * choice.recall.fetch_seconds)
+        patience = max(
+            spare, _LEAST_FETCH_SECONDS, _FETCH_ESTIMATES * choice.fetch_plan.fetch_seconds
+        )
         return self._views.until(now + min(FETCH_SECONDS, patience))
 
     def _saves(
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -14,12 +14,12 @@
 from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.overload import LATE_PART, come_back, is_crowded, return_after
 from fielddrift_core.placement import (
-    FAILING_SHARE,
+    FAILING_RATE,
     EngineChoice,
-    EngineSight,
+    EngineState,
+    can_prefill_soon,
     choose_engine,
     has_room,
-    reads_soon,
 )
 from fielddrift_core.rollout import EngineWeights, seconds_to_begin
 from fielddrift_core.target_registry import Instance
@@ -124,7 +124,7 @@
 
         A prompt that takes long by itself is late at any time, and is taken all the same.
         """
-        queue = wait + choice.reading(choice.burden.unread)
+        queue = wait + choice.prefill_seconds(choice.burden.unread)
         back = come_back(
             patience=call.ask.patience or call.deadline - call.began,
             estimate=wait + choice.seconds,
@@ -202,12 +202,12 @@
             data_centre=self._tools.settings.data_centre,
             aim=call.route.latency_goal,
             holders=lookup.holders,
-            room_part=part,
+            memory_fraction=part,
         )
 
     def _sights(
         self, call: Call, tried: set[str], lookup: KeptLookup, wanted: _Wanted, now: float
-    ) -> list[EngineSight]:
+    ) -> list[EngineState]:
         """Return what is known of the engines that are weighed for a prompt."""
         prompt, traits = call.ask.prompt, call.service.engine
         assert prompt is not None and traits is not None
@@ -239,7 +239,7 @@
 
     def _reads_soon(self, call: Call, candidate: _Candidate) -> bool:
         pace = self._tools.views.pace.of(call.service.name, candidate.engine.name)
-        return reads_soon(candidate.burden, pace)
+        return can_prefill_soon(candidate.burden, pace)
 
     def _working(self, candidates: list[_Candidate], now: float) -> list[_Candidate]:
         """Return the engines that work; all of them where none does."""
@@ -248,7 +248,7 @@
             candidate
             for candidate in candidates
             if not candidate.engine.loading
-            and health.share(candidate.instance.name, now) < FAILING_SHARE
+            and health.share(candidate.instance.name, now) < FAILING_RATE
         ]
         return working or candidates
 
@@ -259,7 +259,7 @@
         lookup: KeptLookup,
         soon: frozenset[str],
         now: float,
-    ) -> EngineSight:
+    ) -> EngineState:
         views = self._tools.views
         prompt = call.ask.prompt
         assert prompt is not None
@@ -267,15 +267,15 @@
         # A send of what may run once only cannot be made up for when it is called off.
         spare = 1.0 if call.route.repeatable else FIRST_EVENT_ESTIMATES
         left = seconds_to_begin(engine.outdated, bound=self._tools.settings.bounds.weights)
-        return EngineSight(
+        return EngineState(
             instance=instance,
             burden=candidate.burden,
             failures=views.health.share(instance.name, now),
-            behind=engine.weights < views.named.get(prompt.model, 0),
+            is_outdated=engine.weights < views.named.get(prompt.model, 0),
             loading=engine.loading,
             memory=views.memory.parts(instance.name, lookup.salt(engine.weights)),
-            soon=instance.name in soon,
+            loads_next=instance.name in soon,
             left=left / spare,
             weights=engine.weights,
-            pace=views.pace.of(call.service.name, instance.name),
+            slowdown=views.pace.of(call.service.name, instance.name),
         )
--- a/packages/node/src/fielddrift_node/serving/plain.py
+++ b/packages/node/src/fielddrift_node/serving/plain.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from fielddrift_core.placement import PlainSight, choose_plain
+from fielddrift_core.placement import PlainTargetState, choose_plain_target
 from fielddrift_core.target_registry import Instance
 
 from ..web.client import Exchange, ExchangeError
@@ -49,11 +49,11 @@
         views = self._tools.views
         now = asyncio.get_running_loop().time()
         sights = [
-            PlainSight(i, views.workload.at(i.name, now), views.health.share(i.name, now))
+            PlainTargetState(i, views.workload.at(i.name, now), views.health.share(i.name, now))
             for i in views.registry.serving(call.service.name)
             if self._tools.gate.allows(call.service, i, now)
         ]
-        return choose_plain(
+        return choose_plain_target(
             sights,
             data_centre=self._tools.settings.data_centre,
             tried=tried,
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -50,7 +50,9 @@
         for engines in (60, 400, 800):
             with (
                 self.subTest(engines=engines),
-                mock.patch.object(placement, "_priced", side_effect=placement._priced) as priced,
+                mock.patch.object(
+                    placement, "_evaluate", side_effect=placement._evaluate
+                ) as priced,
             ):
                 await _choose(_LARGE._replace(engines=engines))
                 # With what stores keep, and without.
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -5,7 +5,7 @@
 import unittest
 
 from fielddrift_core.catalog import EngineTraits, StoreTraits
-from fielddrift_core.placement import EngineSight, Holder, choose_engine, recall
+from fielddrift_core.placement import EngineState, Holder, choose_engine, plan_fetch
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.store_index import KeptChange, StoreIndex, StoreView
 from fielddrift_core.target_registry import Instance
@@ -68,7 +68,7 @@
 
 class TestPlacement(unittest.TestCase):
     def _choose(
-        self, sights: list[EngineSight], holders: dict[str, list[Holder]], tokens_out: int = 10
+        self, sights: list[EngineState], holders: dict[str, list[Holder]], tokens_out: int = 10
     ) -> object:
         choice = choose_engine(
             PROMPT._replace(tokens_out=tokens_out),
@@ -81,33 +81,36 @@
         assert choice is not None
         return choice
 
-    def _sight(self, name: str, **extra: object) -> EngineSight:
+    def _sight(self, name: str, **extra: object) -> EngineState:
         values: dict[str, object] = {
             "instance": instance(name),
             "burden": Burden(),
             "failures": 0.0,
-            "behind": False,
+            "is_outdated": False,
             "loading": False,
         }
-        return EngineSight(**{**values, **extra})  # type: ignore[arg-type]
+        return EngineState(**{**values, **extra})  # type: ignore[arg-type]
 
     def test_parts_behind_a_gap_are_of_no_use(self) -> None:
-        found = recall(
+        found = plan_fetch(
             PROMPT,
             traits=ENGINE,
             data_centre="a",
             holders=lambda part: [Holder(SLOW)] if part.id == "leaf" else [],
         )
         self.assertEqual(found.sources, (None, None, None))
-        self.assertEqual((found.unread, found.again), (9000, 5000))
+        self.assertEqual((found.unread, found.recomputed), (9000, 5000))
 
     def test_the_link_that_is_free_sooner_serves(self) -> None:
         holders = [Holder(SLOW, 0.0), Holder(QUICK, 0.5)]
-        found = recall(PROMPT, traits=ENGINE, data_centre="a", holders=lambda _: holders)
+        found = plan_fetch(PROMPT, traits=ENGINE, data_centre="a", holders=lambda _: holders)
         self.assertEqual(found.sources[:2], (SLOW, SLOW))
 
     def test_long_answers_go_to_engines_that_do_not_load_next(self) -> None:
-        soon, other = self._sight("soon", soon=True), self._sight("other", burden=Burden(3, 2000))
+        soon, other = (
+            self._sight("soon", loads_next=True),
+            self._sight("other", burden=Burden(3, 2000)),
+        )
         self.assertEqual(self._choose([soon, other], {}, 80).instance.name, "other")  # type: ignore[attr-defined]
         self.assertEqual(self._choose([soon, other], {}, 10).instance.name, "soon")  # type: ignore[attr-defined]
 
@@ -138,7 +141,7 @@
     def test_a_fetch_that_would_be_late_gives_way_to_reading(self) -> None:
         late = {"top": [Holder(SLOW, 1.0)], "leaf": [Holder(SLOW, 1.0)]}
         choice = self._choose([self._sight("e")], late)
-        self.assertFalse(any(choice.recall.sources))  # type: ignore[attr-defined]
+        self.assertFalse(any(choice.fetch_plan.sources))  # type: ignore[attr-defined]
 
     def test_a_full_memory_counts(self) -> None:
         full = self._sight("full", burden=Burden(5, 0, 60_000))
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -8,7 +8,7 @@
 
 from fielddrift_core.catalog import EngineTraits
 from fielddrift_core.pace import Pace
-from fielddrift_core.placement import READ_RATE, EngineSight, choose_engine
+from fielddrift_core.placement import PREFILL_TOKENS_PER_SECOND, EngineState, choose_engine
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_registry import Instance
 from fielddrift_core.workload import Burden
@@ -66,15 +66,15 @@
     def test_an_engine_at_half_speed_is_estimated_and_avoided_so(self) -> None:
         prompt = Prompt("m", (Part("a", 9000), Part("own", 1000)), 10_000, 20)
         sights = [
-            EngineSight(
-                Instance(name, "s", f"{name}:1", "a"), Burden(), 0.0, False, False, pace=pace
+            EngineState(
+                Instance(name, "s", f"{name}:1", "a"), Burden(), 0.0, False, False, slowdown=pace
             )
             for name, pace in (("slow", 2.0), ("usual", 1.0))
         ]
         options = {"traits": _TRAITS, "data_centre": "a", "aim": 0.5, "holders": lambda *_: ()}
         slow = choose_engine(prompt, sights[:1], **options)
         assert slow is not None
-        self.assertGreater(slow.seconds, 2 * 10_000 / READ_RATE)
+        self.assertGreater(slow.seconds, 2 * 10_000 / PREFILL_TOKENS_PER_SECOND)
         best = choose_engine(prompt, sights, **options)
         assert best is not None
         self.assertEqual(best.instance.name, "usual")
--- a/tests/test_room_line.py
+++ b/tests/test_room_line.py
@@ -5,7 +5,7 @@
 import unittest
 
 from fielddrift_core.catalog import EngineTraits
-from fielddrift_core.placement import EngineChoice, EngineSight, choose_engine
+from fielddrift_core.placement import EngineChoice, EngineState, choose_engine
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_registry import Instance
 from fielddrift_core.waiting import Line, Turnover, Waiter
@@ -15,13 +15,13 @@
 PROMPT = Prompt("m", (Part("a", 9000), Part("own", 3000)), 12_000, 100)
 
 
-def sight(name: str, memory: int, **known: object) -> EngineSight:
-    values = {"failures": 0.0, "behind": False, "loading": False, **known}
+def sight(name: str, memory: int, **known: object) -> EngineState:
+    values = {"failures": 0.0, "is_outdated": False, "loading": False, **known}
     instance = Instance(name, "s", f"{name}:1", "a")
-    return EngineSight(instance, Burden(3, 0, memory), **values)  # type: ignore[arg-type]
+    return EngineState(instance, Burden(3, 0, memory), **values)  # type: ignore[arg-type]
 
 
-def choose(*sights: EngineSight, part: float | None = 1.0) -> EngineChoice | None:
+def choose(*sights: EngineState, part: float | None = 1.0) -> EngineChoice | None:
     return choose_engine(
         PROMPT,
         sights,
@@ -29,7 +29,7 @@
         data_centre="a",
         aim=1.2,
         holders=lambda sight, part: [],
-        room_part=part,
+        memory_fraction=part,
     )
 
 
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -16,7 +16,7 @@
 from unittest import mock
 
 import msgspec
-from fielddrift_core.placement import READ_RATE
+from fielddrift_core.placement import PREFILL_TOKENS_PER_SECOND
 from fielddrift_core.target_registry import Instance, TargetRegistry, life_name, target_id
 from fielddrift_node.serving.ports import OutOfReach, Send
 from fielddrift_node.serving.views import Views
@@ -87,7 +87,7 @@
         first = self._hear(1)
         views.saw_weights(first.name, "m", 7)
         views.health.failed(first.name, 0.0)
-        views.workload.begin(first.name, "r", int(READ_RATE))
+        views.workload.begin(first.name, "r", int(PREFILL_TOKENS_PER_SECOND))
         views.loading.note(first.name, 9.0)
         second = self._hear(2)
         self.assertEqual(views.weights_of(second.name, "m"), 1)
