--- a/packages/core/src/fielddrift_core/commands.py
+++ b/packages/core/src/fielddrift_core/commands.py
@@ -1,8 +1,8 @@
 """Apply operators' commands to the configuration.
 
 Each command is a `NamedTuple`; the function that applies it is registered
-with `applies`.  Applying is pure: it gives the next configuration, or raises
-`Rejected` with the refusal that the operator sees.
+with `applier`.  Appliers are pure: they return the next configuration, or raise
+`Rejected` with the refusal that is returned to the operator.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class Rejected(Exception):
-    """A command that does not fit the configuration; carries its refusal."""
+    """A command that is invalid for the configuration; carries its refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -61,7 +61,7 @@
 
 
 class CreateCustomer(NamedTuple):
-    """Add a customer; the key is drawn by the node that takes the command."""
+    """Add a customer; the node that receives the command generates the key."""
 
     name: str
     share: float
@@ -70,7 +70,7 @@
 
 
 class RotateKey(NamedTuple):
-    """Give a customer a new key; the old ones end at once."""
+    """Replace a customer's keys by a new one; the old keys become invalid at once."""
 
     name: str
     key_digest: str
@@ -91,28 +91,28 @@
 
 
 class PrepareVersion(NamedTuple):
-    """Have engines load a version ahead of a swap."""
+    """Make engines load a version ahead of a swap."""
 
     name: str
     version: str
 
 
 class SwapVersion(NamedTuple):
-    """Put a prepared version in force for all new requests."""
+    """Make a prepared version the active one for all new requests."""
 
     name: str
     version: str
 
 
 class SetAdapters(NamedTuple):
-    """Say which adapters a deployment's engines have loaded; none to unload all."""
+    """Set the adapters that a deployment's engines load; none unloads all."""
 
     name: str
     adapters: tuple[str, ...]
 
 
 class SetWork(NamedTuple):
-    """Say what an engine does: prefill, decode or both."""
+    """Set which work an engine does: prefill, decode or both."""
 
     name: str
     work: str
@@ -125,7 +125,7 @@
 
 
 class SetDraining(NamedTuple):
-    """Say whether a target is leaving."""
+    """Start or stop draining a target."""
 
     name: str
     draining: bool
@@ -150,7 +150,7 @@
 
 
 class SetHold(NamedTuple):
-    """Say how long a customer's kept context is worth holding."""
+    """Set a customer's rule for how long its cached context is held."""
 
     rule: HoldRule
 
@@ -173,40 +173,40 @@
 )
 
 _C = TypeVar("_C")
-_Apply = Callable[[Configuration, Any], Configuration]
-_APPLY: dict[str, tuple[type, _Apply]] = {}
+_Applier = Callable[[Configuration, Any], Configuration]
+_APPLIERS: dict[str, tuple[type, _Applier]] = {}
 
 
-def applies(
+def applier(
     kind: type[_C],
-) -> Callable[[Callable[[Configuration, _C], Configuration]], _Apply]:
-    """Register the decorated function as the one that applies `kind`."""
+) -> Callable[[Callable[[Configuration, _C], Configuration]], _Applier]:
+    """Register the decorated function as the applier of commands of class `kind`."""
 
-    def register(function: Callable[[Configuration, _C], Configuration]) -> _Apply:
-        _APPLY[kind.__name__] = (kind, function)
+    def register(function: Callable[[Configuration, _C], Configuration]) -> _Applier:
+        _APPLIERS[kind.__name__] = (kind, function)
         return function
 
     return register
 
 
 def apply(configuration: Configuration, command: Command) -> Configuration:
-    """Return the next configuration; raise `Rejected` when it does not fit."""
-    _, function = _APPLY[type(command).__name__]
+    """Return the configuration after `command`; raise `Rejected` when it is invalid."""
+    _, function = _APPLIERS[type(command).__name__]
     following = function(configuration, command)
     return following._replace(revision=configuration.revision + 1)
 
 
 def encode(command: Command) -> bytes:
-    """Return `command` as it is kept in the table."""
+    """Return `command` in the encoding stored in the table."""
     return msgspec.json.encode([type(command).__name__, command])
 
 
 def decode(raw: bytes) -> Command:
-    """Return the command kept as `raw`; raise ValueError when it is not one."""
+    """Return the command encoded in `raw`; raise ValueError when it is malformed."""
     name, fields = msgspec.json.decode(raw, type=tuple[str, list[Any]])
-    if name not in _APPLY:
-        raise ValueError(f"command: {name!r}, expected one of {sorted(_APPLY)}")
-    return msgspec.convert(fields, _APPLY[name][0])
+    if name not in _APPLIERS:
+        raise ValueError(f"command: {name!r}, expected one of {sorted(_APPLIERS)}")
+    return msgspec.convert(fields, _APPLIERS[name][0])
 
 
 # --- helpers ---------------------------------------------------------------
@@ -224,7 +224,7 @@
 def _check_address(what: str, address: str) -> None:
     if not _ADDRESS.fullmatch(address):
         raise _reject(
-            ErrorKind.BAD_REQUEST, f"{what}: {address!r}, expected an IP number and a port"
+            ErrorKind.BAD_REQUEST, f"{what}: {address!r}, expected an IPv4 address and port number"
         )
 
 
@@ -233,29 +233,29 @@
         raise _reject(ErrorKind.BAD_REQUEST, f"{what}: {number}, expected a number above 0")
 
 
-def _check_new(what: str, name: str, known: Mapping[str, object]) -> None:
-    if name in known:
+def _check_unused(what: str, name: str, existing: Mapping[str, object]) -> None:
+    if name in existing:
         raise _reject(ErrorKind.CONFLICT, f"{what}: {name!r} is there already")
 
 
-def _known(what: str, name: str, known: Mapping[str, _C]) -> _C:
-    if name not in known:
+def _require(what: str, name: str, existing: Mapping[str, _C]) -> _C:
+    if name not in existing:
         raise _reject(ErrorKind.NOT_FOUND, f"{what}: {name!r} is not known")
-    return known[name]
+    return existing[name]
 
 
-def _without(known: Mapping[str, _C], name: str) -> dict[str, _C]:
-    return {key: value for key, value in known.items() if key != name}
+def _without(existing: Mapping[str, _C], name: str) -> dict[str, _C]:
+    return {key: value for key, value in existing.items() if key != name}
 
 
 # --- customers -------------------------------------------------------------
 
 
-@applies(CreateCustomer)
+@applier(CreateCustomer)
 def _create_customer(configuration: Configuration, command: CreateCustomer) -> Configuration:
     _check_name("customer", command.name)
     _check_positive("share", command.share)
-    _check_new("customer", command.name, configuration.customers)
+    _check_unused("customer", command.name, configuration.customers)
     customer = Customer(command.name, (command.key_digest,), command.salt, command.share)
     return configuration._replace(
         customers={**configuration.customers, command.name: customer},
@@ -263,9 +263,9 @@
     )
 
 
-@applies(RotateKey)
+@applier(RotateKey)
 def _rotate_key(configuration: Configuration, command: RotateKey) -> Configuration:
-    customer = _known("customer", command.name, configuration.customers)
+    customer = _require("customer", command.name, configuration.customers)
     keys = {k: c for k, c in configuration.keys.items() if c != command.name}
     rotated = customer._replace(key_digests=(command.key_digest,))
     return configuration._replace(
@@ -274,9 +274,9 @@
     )
 
 
-@applies(DropCustomer)
+@applier(DropCustomer)
 def _drop_customer(configuration: Configuration, command: DropCustomer) -> Configuration:
-    _known("customer", command.name, configuration.customers)
+    _require("customer", command.name, configuration.customers)
     return configuration._replace(
         customers=_without(configuration.customers, command.name),
         keys={k: c for k, c in configuration.keys.items() if c != command.name},
@@ -284,10 +284,10 @@
     )
 
 
-@applies(SetHold)
+@applier(SetHold)
 def _set_hold(configuration: Configuration, command: SetHold) -> Configuration:
     rule = command.rule
-    _known("customer", rule.customer, configuration.customers)
+    _require("customer", rule.customer, configuration.customers)
     _check_positive("seconds", rule.seconds)
     if not 0 < rule.chance <= 1:
         raise _reject(
@@ -299,20 +299,20 @@
 # --- deployments -----------------------------------------------------------
 
 
-@applies(CreateModel)
+@applier(CreateModel)
 def _create_model(configuration: Configuration, command: CreateModel) -> Configuration:
     _check_name("model", command.name)
     _check_name("version", command.version)
-    _check_new("model", command.name, configuration.deployments)
+    _check_unused("model", command.name, configuration.deployments)
     deployment = Deployment(command.name, command.version, (), command.weights)
     return configuration._replace(
         deployments={**configuration.deployments, command.name: deployment}
     )
 
 
-@applies(PrepareVersion)
+@applier(PrepareVersion)
 def _prepare_version(configuration: Configuration, command: PrepareVersion) -> Configuration:
-    deployment = _known("model", command.name, configuration.deployments)
+    deployment = _require("model", command.name, configuration.deployments)
     _check_name("version", command.version)
     if command.version in deployment.wanted:
         raise _reject(ErrorKind.CONFLICT, f"version: {command.version!r} is prepared already")
@@ -320,9 +320,9 @@
     return configuration._replace(deployments={**configuration.deployments, command.name: prepared})
 
 
-@applies(SwapVersion)
+@applier(SwapVersion)
 def _swap_version(configuration: Configuration, command: SwapVersion) -> Configuration:
-    deployment = _known("model", command.name, configuration.deployments)
+    deployment = _require("model", command.name, configuration.deployments)
     if command.version not in deployment.prepared:
         detail = f"version: {command.version!r} of {command.name!r} is not prepared"
         raise _reject(ErrorKind.CONFLICT, detail)
@@ -330,9 +330,9 @@
     return configuration._replace(deployments={**configuration.deployments, command.name: swapped})
 
 
-@applies(SetAdapters)
+@applier(SetAdapters)
 def _set_adapters(configuration: Configuration, command: SetAdapters) -> Configuration:
-    deployment = _known("model", command.name, configuration.deployments)
+    deployment = _require("model", command.name, configuration.deployments)
     for adapter in command.adapters:
         _check_name("adapter", adapter)
     changed = deployment._replace(adapters=command.adapters)
@@ -342,29 +342,29 @@
 # --- targets and store hosts -----------------------------------------------
 
 
-@applies(CreateTarget)
+@applier(CreateTarget)
 def _create_target(configuration: Configuration, command: CreateTarget) -> Configuration:
     target = command.target
     _check_name("target", target.name)
     _check_address("at", target.address)
     _check_positive("slots", target.slots)
     _check_positive("prefill", target.prefill_rate)
-    _check_new("target", target.name, configuration.targets)
+    _check_unused("target", target.name, configuration.targets)
     if target.role is TargetRole.ENGINE:
-        _known("model", target.serves, configuration.deployments)
+        _require("model", target.serves, configuration.deployments)
     return configuration._replace(targets={**configuration.targets, target.name: target})
 
 
-@applies(SetDraining)
+@applier(SetDraining)
 def _set_draining(configuration: Configuration, command: SetDraining) -> Configuration:
-    target = _known("target", command.name, configuration.targets)
+    target = _require("target", command.name, configuration.targets)
     changed = target._replace(draining=command.draining)
     return configuration._replace(targets={**configuration.targets, command.name: changed})
 
 
-@applies(SetWork)
+@applier(SetWork)
 def _set_work(configuration: Configuration, command: SetWork) -> Configuration:
-    target = _known("target", command.name, configuration.targets)
+    target = _require("target", command.name, configuration.targets)
     if target.role is not TargetRole.ENGINE or command.work not in ENGINE_WORK:
         expected = f"an engine and one of {', '.join(ENGINE_WORK)}"
         raise _reject(
@@ -375,23 +375,23 @@
     return configuration._replace(targets={**configuration.targets, command.name: changed})
 
 
-@applies(DropTarget)
+@applier(DropTarget)
 def _drop_target(configuration: Configuration, command: DropTarget) -> Configuration:
-    _known("target", command.name, configuration.targets)
+    _require("target", command.name, configuration.targets)
     return configuration._replace(targets=_without(configuration.targets, command.name))
 
 
-@applies(CreateStore)
+@applier(CreateStore)
 def _create_store(configuration: Configuration, command: CreateStore) -> Configuration:
     store = command.store
     _check_name("store", store.name)
     _check_address("at", store.address)
     _check_positive("link", store.link_rate)
-    _check_new("store", store.name, configuration.stores)
+    _check_unused("store", store.name, configuration.stores)
     return configuration._replace(stores={**configuration.stores, store.name: store})
 
 
-@applies(DropStore)
+@applier(DropStore)
 def _drop_store(configuration: Configuration, command: DropStore) -> Configuration:
-    _known("store", command.name, configuration.stores)
+    _require("store", command.name, configuration.stores)
     return configuration._replace(stores=_without(configuration.stores, command.name))
--- a/packages/core/src/fielddrift_core/grammar.py
+++ b/packages/core/src/fielddrift_core/grammar.py
@@ -1,7 +1,7 @@
 """Parse the operators' language into commands and queries.
 
-One statement is parsed at a time.  Whatever a command needs that the operator
-does not write (keys, salts) is handed in, so that parsing stays repeatable.
+One statement is parsed at a time.  Values that a command needs and that are not
+part of the statement (keys, salts) are arguments, so that parsing is deterministic.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 
 __all__ = ["Condition", "GeneratedSecrets", "Lift", "Query", "key_digest", "parse"]
 
-_LONGEST_STATEMENT = 4096
+_MAX_CHARACTERS = 4096
 
 
 class GeneratedSecrets(NamedTuple):
-    """Secrets drawn for one statement; unused unless it makes a key."""
+    """Random secrets for one statement; used only when it creates a key."""
 
     key: str
     salt: str
 
 
 class Condition(NamedTuple):
-    """One condition of a query; a flag is a field that must be true."""
+    """One condition of a query; a flag requires its field to be true."""
 
     field: str
     value: str | float | bool
@@ -61,29 +61,29 @@
 
 
 class Lift(NamedTuple):
-    """A `lift` statement: a request that is held back is to be sent again."""
+    """A `lift` statement: requests with this fingerprint are no longer held back."""
 
     fingerprint: str
 
 
 def key_digest(key: str) -> str:
-    """Return the digest under which a bearer key is kept."""
+    """Return the digest under which a bearer key is stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def parse(statement: str, *, fresh: GeneratedSecrets) -> Command | Lift | Query:
-    """Return what `statement` asks for.
+def parse(statement: str, *, secrets: GeneratedSecrets) -> Command | Lift | Query:
+    """Return the command or query in `statement`.
 
-    Raise `Rejected` naming the place and what was expected there.
+    Raise `Rejected` with the line, the column and what was expected there.
     """
-    if len(statement) > _LONGEST_STATEMENT:
-        detail = f"statement: {len(statement)} characters, expected at most {_LONGEST_STATEMENT}"
+    if len(statement) > _MAX_CHARACTERS:
+        detail = f"statement: {len(statement)} characters, expected at most {_MAX_CHARACTERS}"
         raise Rejected(Refusal(ErrorKind.TOO_LARGE, detail))
     try:
         tree = _PARSER.parse(statement.strip().rstrip(";"))
     except UnexpectedInput as error:
         raise Rejected(Refusal(ErrorKind.BAD_REQUEST, _explain(statement, error))) from None
-    return _Builder(fresh=fresh).transform(tree)
+    return _Builder(secrets=secrets).transform(tree)
 
 
 def _explain(statement: str, error: UnexpectedInput) -> str:
@@ -100,9 +100,9 @@
 class _Builder(Transformer[Any, Any]):
     """Turn a parse tree into a command or a query."""
 
-    def __init__(self, *, fresh: GeneratedSecrets) -> None:
+    def __init__(self, *, secrets: GeneratedSecrets) -> None:
         super().__init__()
-        self._fresh = fresh
+        self._secrets = secrets
 
     def start(self, statement: Command | Lift | Query) -> Command | Lift | Query:
         return statement
@@ -116,7 +116,7 @@
     def number(self, token: str) -> float:
         return float(token)
 
-    # Options come as (field, value) pairs.
+    # Options become (field, value) pairs.
 
     def share(self, number: float) -> float:
         return number
@@ -145,10 +145,10 @@
     # Commands.
 
     def create_customer(self, name: str, share: float = 1.0) -> Command:
-        return CreateCustomer(name, share, key_digest(self._fresh.key), self._fresh.salt)
+        return CreateCustomer(name, share, key_digest(self._secrets.key), self._secrets.salt)
 
     def rotate_key(self, name: str) -> Command:
-        return RotateKey(name, key_digest(self._fresh.key))
+        return RotateKey(name, key_digest(self._secrets.key))
 
     def drop_customer(self, name: str) -> Command:
         return DropCustomer(name)
--- a/packages/core/src/fielddrift_core/stream.py
+++ b/packages/core/src/fielddrift_core/stream.py
@@ -1,8 +1,8 @@
-"""Check a target's numbered events while they pass through.
+"""Check the numbered server-sent events of a target while they are forwarded.
 
-In the usual case what arrived is handed on as it is, after one look at the
-numbers.  Late, doubled and reordered events are put right; an answer counts
-as whole only when the end mark's count was reached.
+Events that arrive in order are forwarded unchanged after one check of their
+numbers.  Late, duplicate and reordered events are put in order or dropped; a
+stream is complete only when the count in its end event was reached.
 """
 
 from __future__ import annotations
@@ -12,72 +12,72 @@
 __all__ = ["EventFramer", "EventSequencer", "StreamError", "first_event_id"]
 
 _NUMBER = re.compile(rb"^id: ?(\d+)$", re.MULTILINE)
-_NUMBER_OR_BREAK = re.compile(rb"^id: ?(\d+)$|\n\n", re.MULTILINE)
-"""An event's number, or with an empty group the blank line behind the event."""
+_NUMBER_OR_BLANK_LINE = re.compile(rb"^id: ?(\d+)$|\n\n", re.MULTILINE)
+"""An event's number, or, with an empty group, the blank line after the event."""
 _END = re.compile(rb'^event: ?end$.*?^data: ?\{"count": ?(\d+)', re.MULTILINE | re.DOTALL)
-_MOST_HELD = 10_000
+_MAX_HELD_EVENT_COUNT = 10_000
 
 
 class StreamError(Exception):
-    """A stream that cannot be put right; the answer must not pass for whole."""
+    """A stream that cannot be repaired; it must not be reported as complete."""
 
 
 class EventSequencer:
-    """Pass the server-sent events of one run on in order, each once, from `following` on.
+    """Forward the server-sent events of one run in order, each once, from `following` on.
 
-    Events are numbered from 1; the end mark is `event: end` with the count of
-    events in its data, and carries the number after the last one.
+    Events are numbered from 1.  The end event is `event: end` with the count of
+    events in its data; its own number is that count plus 1.
     """
 
-    # One sequencer a run, and the next begins at `following`: what arrived of a run that
-    # broke off and was not handed on must not decide over the next one's events, or its end.
+    # Each run needs its own sequencer, and the next one starts at `following`: buffered events
+    # of a run that was interrupted must not replace events or the end event of the next run.
 
     def __init__(self, *, following: int = 1) -> None:
         self._next = following
-        self._rest = b""
+        self._buffer = b""
         self._held: dict[int, bytes] = {}
         self._count: int | None = None
         self._reordered = False
 
     @property
     def reordered(self) -> bool:
-        """Return whether any events had to be put right."""
+        """Return whether any events had to be reordered or dropped."""
         return self._reordered
 
     @property
     def following(self) -> int:
-        """Return the number of the next event to hand on."""
+        """Return the number of the next event to forward."""
         return self._next
 
     @property
     def partial_bytes(self) -> int:
-        """Return how many bytes of an event that has not ended are held."""
-        return len(self._rest)
+        """Return the size in bytes of the buffered, incomplete event."""
+        return len(self._buffer)
 
     @property
     def whole(self) -> bool:
-        """Return whether the marked end was handed on."""
+        """Return whether the end event was forwarded."""
         return self._count is not None and self._next == self._count + 2
 
     def feed(self, data: bytes) -> bytes:
-        """Return what can be handed on now that `data` arrived.
+        """Return the bytes that can be forwarded after `data` was received.
 
-        Raise `StreamError` for an event without a number or with two, an end mark
-        that contradicts the events, or too many held out of order.  Nothing of
-        `data` counts as handed on then.
+        Raise `StreamError` for an event without a number or with two, an end event
+        whose count contradicts the events, or too many events held out of order.
+        In that case no part of `data` counts as forwarded.
         """
-        ready, self._rest = _whole_events(self._rest + data)
+        ready, self._buffer = _split_complete(self._buffer + data)
         if not ready:
             return b""
         following = self._next + ready.count(b"\n\n")
-        # Where events are held, one that comes in order may be what they wait for.
-        if not self._held and _has_one_each(ready, range(self._next, following)):
-            self._count = _checked_end(ready, following - 1, self._count)
+        # While events are held, an event in order may release them, so the fast path is skipped.
+        if not self._held and _is_in_order(ready, range(self._next, following)):
+            self._count = _end_count(ready, following - 1, self._count)
             self._next = following
             return ready
-        return self._put_right(ready)
+        return self._reorder(ready)
 
-    def _put_right(self, ready: bytes) -> bytes:
+    def _reorder(self, ready: bytes) -> bytes:
         self._reordered = True
         for event in ready.split(b"\n\n")[:-1]:
             found = _NUMBER.findall(event)
@@ -86,15 +86,17 @@
             number = int(found[0])
             if number >= self._next:
                 self._held.setdefault(number, event + b"\n\n")
-        if len(self._held) > _MOST_HELD:
-            raise StreamError(f"event {self._next}: missing, {len(self._held)} later ones arrived")
+        if len(self._held) > _MAX_HELD_EVENT_COUNT:
+            raise StreamError(
+                f"event {self._next}: missing, {len(self._held)} later events received"
+            )
         return self._release()
 
     def _release(self) -> bytes:
         out = []
         following, count = self._next, self._count
         while (event := self._held.get(following)) is not None:
-            count = _checked_end(event, following, count)
+            count = _end_count(event, following, count)
             out.append(event)
             following += 1
         for number in range(self._next, following):
@@ -103,26 +105,27 @@
         return b"".join(out)
 
 
-def _has_one_each(ready: bytes, numbers: range) -> bool:
-    """Return whether the events of `ready` have one number each, and just these in turn."""
-    found = _NUMBER_OR_BREAK.findall(ready)
-    in_turn = [mark for number in numbers for mark in (b"%d" % number, b"")]
-    return found == in_turn
+def _is_in_order(ready: bytes, numbers: range) -> bool:
+    """Return whether the events of `ready` carry exactly `numbers`, one each, in order."""
+    found = _NUMBER_OR_BLANK_LINE.findall(ready)
+    expected_marks = [mark for number in numbers for mark in (b"%d" % number, b"")]
+    return found == expected_marks
 
 
-def _checked_end(ready: bytes, last: int, before: int | None) -> int | None:
-    """Return the count of the end mark in `ready`, None when there is none.
+def _end_count(ready: bytes, last: int, before: int | None) -> int | None:
+    """Return the count of the end event in `ready`, None when there is none.
 
-    `before` is the count of an end mark that came already.
+    `last` is the number of the last event in `ready`, `before` the count of an end
+    event that was received earlier.  Raise `StreamError` when they contradict.
     """
     if before is not None:
-        raise StreamError(f"event {last}: comes after the end mark")
+        raise StreamError(f"event {last}: received after the end event")
     found = _END.search(ready)
     if found is None:
         return None
     count = int(found.group(1))
     if last != count + 1:
-        raise StreamError(f"end mark: count {count}, but its number is {last}")
+        raise StreamError(f"end event: count {count}, but its number is {last}")
     return count
 
 
@@ -130,23 +133,23 @@
 
 
 def first_event_id(events: bytes) -> str:
-    """Return the id of the first of `events` that has one, empty where none has."""
+    """Return the id of the first of `events` that has one, or an empty string."""
     found = _ID_LINE.search(events)
     return "" if found is None else found.group(1).decode("latin-1")
 
 
 class EventFramer:
-    """Cut the bytes of one run into whole events, each handed on once.
+    """Split the bytes of one run into complete events, each forwarded once.
 
-    Ids rise but need not follow on each other.  Events up to the id `after`,
-    which an earlier run of the same answer gave, are left out.
+    Ids increase but need not be consecutive.  Events up to and including the id
+    `after`, which an earlier run of the same answer sent, are left out.
     """
 
-    # One cutter a run: what is not whole when a run breaks off must go with it,
-    # or it would be joined to the first event of the next run.
+    # Each run needs its own framer: an event that is incomplete when a run is interrupted
+    # must be discarded with it, or it would be joined to the first event of the next run.
 
     def __init__(self, *, after: str = "") -> None:
-        self._rest = b""
+        self._buffer = b""
         self._last = after
         self._events = 0
         self._odd = 0
@@ -154,46 +157,46 @@
 
     @property
     def last(self) -> str:
-        """Return the id of the last event handed on, by this run or before; empty for none."""
+        """Return the id of the last event forwarded, in this run or earlier; empty for none."""
         return self._last
 
     @property
     def events(self) -> int:
-        """Return how many events of this run were handed on."""
+        """Return how many events of this run were forwarded."""
         return self._events
 
     @property
     def odd(self) -> int:
-        """Return how many events, at least, had not just one numbered id and one line of data.
+        """Return a lower bound on the events without exactly one numeric id and one data line.
 
-        An event joined of the bytes of two is counted, unless the first one's end inside
-        the name of its data field.
+        An event that was joined from parts of two events is counted, unless the first part
+        ends within the name of its data field.
         """
         return self._odd
 
     @property
     def resumable(self) -> bool:
-        """Return whether another run can go on behind what was handed on: each event had an id."""
+        """Return whether another run can resume after the last event: every event had an id."""
         return self._marked
 
     @property
     def partial(self) -> bool:
-        """Return whether an event has begun and not ended."""
-        return bool(self._rest)
+        """Return whether an incomplete event is buffered."""
+        return bool(self._buffer)
 
     @property
     def partial_bytes(self) -> int:
-        """Return how many bytes of an event that has not ended are held."""
-        return len(self._rest)
+        """Return the size in bytes of the buffered, incomplete event."""
+        return len(self._buffer)
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that `data` completes, without any handed on before."""
-        ready, self._rest = _whole_events(self._rest + data)
+        """Return the events that `data` completes, without those forwarded before."""
+        ready, self._buffer = _split_complete(self._buffer + data)
         if not ready:
             return b""
         ids = _ID_LINE.findall(ready)
         if ids and self._last.isdigit() and ids[0].isdigit() and int(ids[0]) <= int(self._last):
-            ready = self._without_repeated(ready)
+            ready = self._without_repeats(ready)
             ids = _ID_LINE.findall(ready)
         events = ready.count(b"\n\n")
         self._events += events
@@ -202,11 +205,11 @@
         self._odd += max(abs(len(ids) - events), abs(lines - events), unnumbered)
         self._marked = self._marked and len(ids) >= events
         if ids:
-            # Where all were repeated none is left, and the last id stays.
+            # When every event was a repeat, no id is left and the last id stays.
             self._last = ids[-1].decode("latin-1")
         return ready
 
-    def _without_repeated(self, ready: bytes) -> bytes:
+    def _without_repeats(self, ready: bytes) -> bytes:
         kept = []
         for event in ready.split(b"\n\n")[:-1]:
             found = _ID_LINE.search(event)
@@ -216,7 +219,7 @@
         return b"".join(kept)
 
 
-def _whole_events(data: bytes) -> tuple[bytes, bytes]:
-    """Return the whole events at the beginning of `data`, and the rest."""
+def _split_complete(data: bytes) -> tuple[bytes, bytes]:
+    """Return the complete events at the start of `data`, and the remaining bytes."""
     cut = data.rfind(b"\n\n") + 2
     return (data[:cut], data[cut:]) if cut >= 2 else (b"", data)
--- a/packages/node/src/fielddrift_node/operators.py
+++ b/packages/node/src/fielddrift_node/operators.py
@@ -58,7 +58,7 @@
             return Refusal(ErrorKind.BAD_REQUEST, detail)
         fresh = GeneratedSecrets(secrets.token_urlsafe(_KEY_BYTES), secrets.token_hex(_KEY_BYTES))
         try:
-            parsed = parse(asked.statement, fresh=fresh)
+            parsed = parse(asked.statement, secrets=fresh)
         except Rejected as rejected:
             return rejected.refusal
         if isinstance(parsed, Lift):
--- a/tests/test_configlog.py
+++ b/tests/test_configlog.py
@@ -26,7 +26,7 @@
 
 def statement(text: str) -> Command:
     """Return the command of a statement."""
-    command = parse(text, fresh=GeneratedSecrets(key="k", salt="s"))
+    command = parse(text, secrets=GeneratedSecrets(key="k", salt="s"))
     assert not hasattr(command, "noun")
     return command  # type: ignore[return-value]
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -25,7 +25,7 @@
     "platform": {"table": "127.0.0.1:1", "objects": "127.0.0.1:1", "hosts": "127.0.0.1:2"},
     "keys": {"operators": {"anna": "0" * 64}, "peer": "x" * 20},
 }
-FRESH = GeneratedSecrets("key", "salt")
+SECRETS = GeneratedSecrets("key", "salt")
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
@@ -110,19 +110,21 @@
 class LanguageTest(unittest.TestCase):
     def test_statements(self) -> None:
         self.assertEqual(
-            parse('show held where customer = "a b" and blocks = 3 by store, tier', fresh=FRESH),
+            parse(
+                'show held where customer = "a b" and blocks = 3 by store, tier', secrets=SECRETS
+            ),
             Query(
                 "held", (Condition("customer", "a b"), Condition("blocks", 3.0)), ("store", "tier")
             ),
         )
         service = parse(
             "create service m at 127.0.0.1:1 in dc serving pay not repeatable POST, put unchecked",
-            fresh=FRESH,
+            secrets=SECRETS,
         )
         assert isinstance(service, CreateTarget)
         self.assertEqual(service.target.not_repeatable, ("POST", "PUT"))
         self.assertFalse(service.target.checks)
-        hold = parse("set hold for customer a seconds 60 chance 0.5 rush 100", fresh=FRESH)
+        hold = parse("set hold for customer a seconds 60 chance 0.5 rush 100", secrets=SECRETS)
         assert isinstance(hold, SetHold)
         self.assertEqual(hold.rule.rush, 100.0)
 
@@ -131,7 +133,7 @@
             configuration = Configuration()
             for line in file.read_text().splitlines():
                 if line.strip() and not line.startswith("#"):
-                    command = parse(line, fresh=GeneratedSecrets(line, "s"))
+                    command = parse(line, secrets=GeneratedSecrets(line, "s"))
                     assert not isinstance(command, Query)
                     configuration = apply(configuration, command)
             self.assertTrue(configuration.customers, file.name)
@@ -150,7 +152,7 @@
         for statement, place, expected in table:
             with self.subTest(statement=statement[:40]):
                 with self.assertRaises(Rejected) as raised:
-                    parse(statement, fresh=FRESH)
+                    parse(statement, secrets=SECRETS)
                 detail = raised.exception.refusal.detail
                 self.assertIn(place, detail)
                 self.assertIn(expected, detail)
@@ -162,7 +164,7 @@
             ("create store s at example.com:1 in dc memory 1 disk 1 link 1", "example.com:1"),
             ("create engine e at 127.0.0.1:1 in dc serving nothing", "nothing"),
         ):
-            command = parse(statement, fresh=FRESH)
+            command = parse(statement, secrets=SECRETS)
             assert not isinstance(command, Query)
             with self.assertRaisesRegex(Rejected, value):
                 apply(Configuration(), command)
