--- a/bench/choice.py
+++ b/bench/choice.py
@@ -151,7 +151,7 @@
             neighbours=neighbours,
             metrics=Metrics(),
             rng=random.Random(seed),
-            tell=lambda news, nodes: None,
+            send_update=lambda update, nodes: None,
         ),
         gate=SendGate(views=views, neighbours=neighbours, bounds=BOUNDS),
         notices=Notices(views=views, changed=lambda: None),
--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -101,7 +101,7 @@
             neighbours=self.neighbours,
             metrics=self.metrics,
             rng=rng,
-            tell=self.gossip.tell_crashes,
+            send_update=self.gossip.send_crash_update,
         )
         tools = Tools(
             settings=settings,
@@ -112,10 +112,10 @@
             budgets={},
             rng=rng,
             metrics=self.metrics,
-            told=self.gossip.sends_changed,
+            told=self.gossip.schedule_load_update,
             crashes=crashes,
             gate=SendGate(views=self.views, neighbours=self.neighbours, bounds=BOUNDS),
-            notices=Notices(views=self.views, changed=self.gossip.sends_changed),
+            notices=Notices(views=self.views, changed=self.gossip.schedule_load_update),
         )
         self.gateway = Gateway(tools=tools)
         self._tasks = [loop.create_task(self.gossip.run()), loop.create_task(self._tick())]
--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -177,7 +177,7 @@
     def check(self, call: Call) -> None:
         """Raise `Refused` for a request that is held back."""
 
-    def begin(self, call: Call) -> None:
+    def record_send(self, call: Call) -> None:
         """Take that a request is about to be sent; raise `Refused` for one that is held back."""
 
     def failed(self, call: Call, instance: Instance, reason: str, sent_at: float) -> None:
--- a/packages/node/src/fielddrift_node/serving/crash_watch.py
+++ b/packages/node/src/fielddrift_node/serving/crash_watch.py
@@ -1,8 +1,9 @@
-"""See which requests end the targets that run them, refuse those, and tell the other nodes.
+"""Track requests that crash the targets running them, reject those, and inform the other nodes.
 
-A run that its target's side breaks off says nothing by itself: an answer can be lost, a link
-reset.  It counts only once the target is known to have ended: its port refuses connections,
-another instance has its address, or its entry went soon after, unannounced.
+A connection that breaks during a run does not prove a crash: the answer may be lost or the link
+reset. The run counts as a crash only after the target is known to have ended: its port refuses
+connections, another instance uses its address, or its entry disappears soon afterwards without the
+target having reported that it is leaving.
 """
 
 from __future__ import annotations
@@ -25,29 +26,30 @@
 
 __all__ = ["CrashWatch"]
 
-BROKEN_OFF = frozenset({"reset", "cut"})
-"""Reasons of failed sends that an end of their target may explain."""
+CONNECTION_LOST_REASONS = frozenset({"reset", "cut"})
+"""Failure reasons of sends that a crash of the target may explain."""
 _REPLACED = "replaced"
-_PROBE_REST_SECONDS = 0.05
-"""Rest before a target is connected to: a process that ends closes its port within that time."""
-_PROBE_SECONDS = 0.35
-"""A connection within a region takes some ms; a lost opening packet is sent again after 1 s."""
+_PROBE_DELAY_SECONDS = 0.05
+"""Delay before the target is probed: a crashing process closes its port within this time."""
+_PROBE_TIMEOUT_SECONDS = 0.35
+"""Connect timeout. A connection within a region takes some ms; a lost SYN is resent after 1 s."""
 _TICK_SECONDS = 0.25
-_TELL_SECONDS = 1.0
-"""Rest between what one random node is told: what datagrams lost, or a node that was cut off
-or paused missed, is mended within a second or two, for one packet a second and node."""
-_MOST_TOLD = 20
-"""Entries of one datagram, some 60 bytes each."""
-_YOUNG_SECONDS = 30.0
-"""Age up to which news of requests that are not held back is told again each second."""
-_WHOLE_SECONDS = 10.0
-"""Rest between what is told whatever its age, to nodes that were cut off for longer."""
+_UPDATE_INTERVAL_SECONDS = 1.0
+"""Interval between updates to one random node. They make up for lost datagrams, and for updates
+that a disconnected or paused node missed, within 1 to 2 s, and cost one packet per second and node."""
+_MAX_ENTRY_COUNT = 20
+"""Entries per datagram; an entry takes about 60 bytes."""
+_MAX_UPDATE_AGE_SECONDS = 30.0
+"""Maximum age of entries repeated every second on requests that are not held back."""
+_FULL_UPDATE_INTERVAL_SECONDS = 10.0
+"""Interval between updates without an age limit, for nodes that were disconnected for longer."""
 
 _log = structlog.get_logger()
 
 
 class CrashWatch:
-    """What this node knows of requests that end targets; the loop's thread only."""
+    """Crash records of this node, and the checks based on them. Use on the event loop thread
+    only."""
 
     def __init__(
         self,
@@ -57,7 +59,7 @@
         neighbours: Neighbours,
         metrics: Metrics,
         rng: random.Random,
-        tell: Callable[[CrashUpdate, Sequence[Neighbour]], None],
+        send_update: Callable[[CrashUpdate, Sequence[Neighbour]], None],
     ) -> None:
         self._views = views
         self._history = views.crashes
@@ -65,23 +67,23 @@
         self._neighbours = neighbours
         self._metrics = metrics
         self._rng = rng
-        self._tell = tell
+        self._send_update = send_update
         self._loop = asyncio.get_running_loop()
-        self._lost = LostRuns()
+        self._lost_runs = LostRuns()
         self._probes: dict[str, asyncio.Task[None]] = {}
-        self._known: dict[str, HeldRequest] = {}
-        self._told_at = float("-inf")
-        self._whole_at = float("-inf")
+        self._logged_holds: dict[str, HeldRequest] = {}
+        self._update_sent_at = float("-inf")
+        self._full_update_sent_at = float("-inf")
 
     # --- requests -------------------------------------------------------------------
 
     def check(self, call: Call) -> None:
-        """Raise `Refused` for a request that is held back."""
+        """Raise `Refused` if the request is held back."""
         if not self._history.is_empty:
             self._refuse(call, self._history.held(call.fingerprint, self._loop.time()))
 
-    def begin(self, call: Call) -> None:
-        """Take that a request is about to be sent; raise `Refused` for one that is held back."""
+    def record_send(self, call: Call) -> None:
+        """Record that a request is about to be sent; raise `Refused` if it is held back."""
         if not self._history.is_empty:
             self._refuse(call, self._history.admit(call.fingerprint, self._loop.time()))
 
@@ -92,58 +94,64 @@
         raise Refused(held.refusal(self._loop.time(), ran))
 
     def failed(self, call: Call, instance: Instance, reason: str, sent_at: float) -> None:
-        """Take a send that failed once it had left."""
+        """Record a send that failed after the request had left this node."""
         name = instance.name
         if reason == _REPLACED:
             self._target_ended(name, "replaced")
         registry = self._views.registry
-        if reason not in BROKEN_OFF or name in registry.leaving() or registry.get(name) is None:
-            # One that is leaving, or whose entry went while it still served, ends as planned.
+        if (
+            reason not in CONNECTION_LOST_REASONS
+            or name in registry.leaving()
+            or registry.get(name) is None
+        ):
+            # A target that is leaving, or whose entry was removed while it still served, ends as
+            # planned.
             return
         now = self._loop.time()
         run = LostRun(call.ask.request_id, call.fingerprint, name, now, now - sent_at)
-        if self._lost.broke_off(run):
-            self._count([run], "ended before")
+        if self._lost_runs.broke_off(run):
+            self._record_crashes([run], "ended before")
         elif name not in self._probes:
             self._probes[name] = self._loop.create_task(self._probe(instance))
 
     def refused(self, instance: Instance) -> None:
-        """Take that a connection to a target was refused."""
+        """Record that a target refused a connection."""
         self._target_ended(instance.name, "connection refused")
 
     def answered(self, call: Call, target: str, sent_at: float) -> None:
-        """Take that a target answered a request whole."""
+        """Record that a target answered a request in full."""
         if self._history.is_empty:
             return
         now = self._loop.time()
         if self._history.has_crashes(call.fingerprint) and self._history.clear(
             call.fingerprint, now
         ):
-            self._changed(CrashUpdate(cleared=((call.fingerprint, 0.0),)))
-        # It was sent after the target had been taken for ended.
+            self._publish(CrashUpdate(cleared=((call.fingerprint, 0.0),)))
+        # The request was sent after the recorded crash, so the target instance is still alive.
         if self._history.ended_before(target, sent_at):
             self._history.record_alive(target, sent_at)
-            self._lost.lives(target)
-            self._changed(CrashUpdate(living=((target, now - sent_at),)))
+            self._lost_runs.lives(target)
+            self._publish(CrashUpdate(living=((target, now - sent_at),)))
 
     def lift(self, fingerprint: str) -> bool:
-        """Let a request go, as an operator asks; return whether a crash was laid to it."""
+        """Release a request on behalf of an operator; return whether it had any recorded
+        crashes."""
         if not self._history.has_crashes(fingerprint):
             return False
         _log.info("request let go by an operator", fingerprint=fingerprint)
         self._history.clear(fingerprint, self._loop.time())
-        self._changed(CrashUpdate(cleared=((fingerprint, 0.0),)))
+        self._publish(CrashUpdate(cleared=((fingerprint, 0.0),)))
         return True
 
     # --- targets --------------------------------------------------------------------
 
     async def _probe(self, instance: Instance) -> None:
-        """Look whether anybody listens at the target's address."""
+        """Check whether a process accepts connections at the target's address."""
         try:
-            await asyncio.sleep(_PROBE_REST_SECONDS)
-            if instance.name in self._lost:
-                # One that comes up is kept for a request to come.
-                await self._client.connect(instance.address, seconds=_PROBE_SECONDS)
+            await asyncio.sleep(_PROBE_DELAY_SECONDS)
+            if instance.name in self._lost_runs:
+                # The connection is kept in the pool for a later request.
+                await self._client.connect(instance.address, seconds=_PROBE_TIMEOUT_SECONDS)
         except ExchangeError as error:
             if error.refused:
                 self.refused(instance)
@@ -151,11 +159,12 @@
             self._probes.pop(instance.name, None)
 
     def _target_ended(self, name: str, evidence: str) -> None:
-        if runs := self._lost.ended(name, self._loop.time()):
-            self._count(runs, evidence)
+        if runs := self._lost_runs.ended(name, self._loop.time()):
+            self._record_crashes(runs, evidence)
 
-    def _count(self, runs: list[LostRun], evidence: str) -> None:
-        """Lay the end of a target to the runs that broke off there, and tell the others."""
+    def _record_crashes(self, runs: list[LostRun], evidence: str) -> None:
+        """Record crashes for runs that were lost when a target ended, and inform the other
+        nodes."""
         now = self._loop.time()
         crashes = []
         for run in runs:
@@ -172,93 +181,93 @@
                 ran_ms=round(run.ran * 1000),
                 ended=len(self._history.crashes_of(run.fingerprint)),
             )
-        self._changed(CrashUpdate(crashes=tuple(crashes)))
+        self._publish(CrashUpdate(crashes=tuple(crashes)))
 
     # --- other nodes ----------------------------------------------------------------
 
-    def heard(self, news: CrashUpdate) -> None:
-        """Take what another node tells, and hand on what is news."""
-        fresh = self._history.merge(news, self._loop.time())
+    def heard(self, update: CrashUpdate) -> None:
+        """Apply an update from another node, and forward the part that is new."""
+        fresh = self._history.merge(update, self._loop.time())
         if not any((fresh.crashes, fresh.cleared, fresh.living)):
             return
-        self._note_held()
+        self._log_holds()
         now = self._loop.time()
-        near = news.data_centre == self._neighbours.me.data_centre
-        nodes = self._neighbours.remote_contacts(now) if near else self._neighbours.near(now)
-        self._send(fresh, nodes)
+        is_local = update.data_centre == self._neighbours.me.data_centre
+        nodes = self._neighbours.remote_contacts(now) if is_local else self._neighbours.near(now)
+        self._send_chunks(fresh, nodes)
 
-    def recent(self) -> CrashUpdate:
-        """Return what a node that was away may lack."""
+    def recent_update(self) -> CrashUpdate:
+        """Return entries that a node may have missed while it was unreachable."""
         now = self._loop.time()
-        young = _YOUNG_SECONDS
-        if now - self._whole_at > _WHOLE_SECONDS:
-            # Who was cut off for longer than that.
-            self._whole_at, young = now, float("inf")
-        return self._history.update(now, limit=_MOST_TOLD, max_age=young)
-
-    def greet(self, node: Neighbour) -> None:
-        """Tell a node that is heard for the first time in its life."""
-        self._send(self.recent(), [node])
-
-    def _changed(self, news: CrashUpdate) -> None:
-        self._note_held()
+        max_age_seconds = _MAX_UPDATE_AGE_SECONDS
+        if now - self._full_update_sent_at > _FULL_UPDATE_INTERVAL_SECONDS:
+            # For nodes that were disconnected for longer than _MAX_UPDATE_AGE_SECONDS.
+            self._full_update_sent_at, max_age_seconds = now, float("inf")
+        return self._history.update(now, limit=_MAX_ENTRY_COUNT, max_age=max_age_seconds)
+
+    def send_recent(self, node: Neighbour) -> None:
+        """Send the recent entries to a node that was just discovered or restarted."""
+        self._send_chunks(self.recent_update(), [node])
+
+    def _publish(self, update: CrashUpdate) -> None:
+        self._log_holds()
         now = self._loop.time()
         nodes = [*self._neighbours.near(now), *self._neighbours.remote_contacts(now)]
-        self._send(news, nodes)
+        self._send_chunks(update, nodes)
 
-    def _send(self, news: CrashUpdate, nodes: Sequence[Neighbour]) -> None:
-        own = news._replace(data_centre=self._neighbours.me.data_centre)
-        for start in range(0, len(news.crashes), _MOST_TOLD):
-            crashes = news.crashes[start : start + _MOST_TOLD]
-            self._tell(own._replace(crashes=crashes, cleared=(), living=()), nodes)
-        for start in range(0, max(len(news.cleared), len(news.living)), _MOST_TOLD):
-            cleared = news.cleared[start : start + _MOST_TOLD]
-            living = news.living[start : start + _MOST_TOLD]
-            self._tell(own._replace(crashes=(), cleared=cleared, living=living), nodes)
+    def _send_chunks(self, update: CrashUpdate, nodes: Sequence[Neighbour]) -> None:
+        stamped = update._replace(data_centre=self._neighbours.me.data_centre)
+        for start in range(0, len(update.crashes), _MAX_ENTRY_COUNT):
+            crashes = update.crashes[start : start + _MAX_ENTRY_COUNT]
+            self._send_update(stamped._replace(crashes=crashes, cleared=(), living=()), nodes)
+        for start in range(0, max(len(update.cleared), len(update.living)), _MAX_ENTRY_COUNT):
+            cleared = update.cleared[start : start + _MAX_ENTRY_COUNT]
+            living = update.living[start : start + _MAX_ENTRY_COUNT]
+            self._send_update(stamped._replace(crashes=(), cleared=cleared, living=living), nodes)
 
-    # --- by the clock -----------------------------------------------------------------
+    # --- periodic work ----------------------------------------------------------------
 
     async def run(self) -> None:
-        """Settle doubts by the list of targets, and tell what others may lack, until cancelled."""
+        """Resolve lost runs from the target list and send periodic updates, until cancelled."""
         while True:
             await asyncio.sleep(_TICK_SECONDS)
             now = self._loop.time()
-            self._settle(now)
+            self._resolve_lost_runs(now)
             if self._history.has_updates:
                 self._history.expire(now)
-                self._note_held()
-                self._tell_one(now)
+                self._log_holds()
+                self._send_periodic_update(now)
 
-    def _settle(self, now: float) -> None:
-        for name in self._lost.targets:
+    def _resolve_lost_runs(self, now: float) -> None:
+        for name in self._lost_runs.targets:
             if self._views.registry.get(name) is None:
                 self._target_ended(name, "entry ended")
-        self._lost.expire(now)
+        self._lost_runs.expire(now)
 
-    def _tell_one(self, now: float) -> None:
-        if now - self._told_at < _TELL_SECONDS:
+    def _send_periodic_update(self, now: float) -> None:
+        if now - self._update_sent_at < _UPDATE_INTERVAL_SECONDS:
             return
-        self._told_at = now
+        self._update_sent_at = now
         nodes = [*self._neighbours.near(now), *self._neighbours.remote_contacts(now)]
         if nodes:
-            self._send(self.recent(), [self._rng.choice(nodes)])
+            self._send_chunks(self.recent_update(), [self._rng.choice(nodes)])
 
-    def _note_held(self) -> None:
-        """Log which requests are held back anew, for longer, or no more."""
+    def _log_holds(self) -> None:
+        """Log requests that become held back, are held back for longer, or are released."""
         now = self._loop.time()
         held = {each.fingerprint: each for each in self._history.all_held(now)}
-        if held == self._known:
+        if held == self._logged_holds:
             return
         for name, each in held.items():
-            if self._known.get(name) != each:
+            if self._logged_holds.get(name) != each:
                 _log.warning(
                     "request held back",
                     fingerprint=name,
                     targets=list(each.targets),
                     seconds=round(each.until - now, 1),
                 )
-        for name in self._known.keys() - held.keys():
+        for name in self._logged_holds.keys() - held.keys():
             over = self._history.has_crashes(name)
             _log.info("request let go", fingerprint=name, reason="over" if over else "cleared")
-        self._known = held
+        self._logged_holds = held
         self._metrics.held_back.set(len(held))
--- a/packages/node/src/fielddrift_node/serving/gossip.py
+++ b/packages/node/src/fielddrift_node/serving/gossip.py
@@ -1,4 +1,4 @@
-"""Exchange heartbeats with the other nodes, as datagrams."""
+"""Exchange heartbeats and crash updates with the other nodes as UDP datagrams."""
 
 from __future__ import annotations
 
@@ -12,51 +12,52 @@
 from fielddrift_core.crashes import CrashUpdate
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Standing
 
-__all__ = ["CrashTalk", "Gossip", "Reach"]
+__all__ = ["CrashListener", "Gossip", "Scope"]
 
 _TICK_SECONDS = 0.05
 _STANDBY_TICK_SECONDS = 0.25
-"""The same for a node that stands by: its heartbeats are a second and more apart, and the
-processor time of looking whom they are due to is that of most nodes of a large fleet."""
-_SOON_SECONDS = 0.02
-"""Least time between heartbeats that something new causes."""
-_SOON_PART = 0.3
-"""Part of the time between heartbeats that passes between heartbeats with news."""
-_PASS_ON_SECONDS = 2.0
-"""Time between remote heartbeats that nodes which stand by get: they need to know whom
-to send callers to when their own data centre has no active node."""
-_MOST_BYTES = 1400
-"""A datagram that fits into one packet."""
-
-_UNKNOWN = Standing(near=False, mine=False, theirs=False)
-"""How a node stands of which nothing is known yet."""
-
-_CRASHES_MARK = b"\xc1"
-"""Begins a datagram with news of crashes: no value in MessagePack, so no heartbeat, begins so."""
+"""Tick interval of a standby node. Its heartbeats are at least 1 s apart, and checking which are
+due accounts for much of the CPU time in a large fleet, where most nodes are on standby."""
+_MIN_UPDATE_DELAY_SECONDS = 0.02
+"""Minimum delay before a heartbeat that is sent because of a state change."""
+_UPDATE_PERIOD_FRACTION = 0.3
+"""Minimum interval between such heartbeats, as a fraction of the regular heartbeat period."""
+_STANDBY_FORWARD_SECONDS = 2.0
+"""Interval at which standby nodes get heartbeats of other data centres. They need them to refer
+callers to those nodes when their own data centre has no active node."""
+_MAX_DATAGRAM_BYTES = 1400
+"""Largest datagram that fits into one packet."""
+
+_UNKNOWN_STANDING = Standing(near=False, mine=False, theirs=False)
+"""Standing used for a node about which nothing is known yet."""
+
+_CRASH_UPDATE_MARKER = b"\xc1"
+"""First byte of a datagram with a crash update. MessagePack does not use this byte, so no heartbeat
+starts with it."""
 
 _log = structlog.get_logger()
 
 
-class CrashTalk(Protocol):
-    """Who hears of crashes, and greets nodes with what is known of them."""
+class CrashListener(Protocol):
+    """Receives crash updates, and sends the recorded crashes to newly discovered nodes."""
 
-    def heard(self, news: CrashUpdate) -> None:
-        """Take what another node tells."""
+    def heard(self, update: CrashUpdate) -> None:
+        """Apply an update from another node."""
 
-    def greet(self, node: Neighbour) -> None:
-        """Tell a node that is heard for the first time in its life."""
+    def send_recent(self, node: Neighbour) -> None:
+        """Send the recent crash updates to a node that was just discovered or restarted."""
 
 
-class Reach(IntEnum):
-    """Who must hear of something new, from the fewest to the most."""
+class Scope(IntEnum):
+    """Which nodes a state change is sent to, from the fewest to the most."""
 
-    ACTIVE_NEARBY = 0
-    NEARBY = 1
-    EVERYWHERE = 2
+    ACTIVE_LOCAL = 0
+    LOCAL = 1
+    ALL = 2
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Send this node's heartbeats, and hand on those of others."""
+    """Send this node's heartbeats, and forward those from other data centres."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         neighbours: Neighbours,
         heartbeat: Callable[[Standing], Heartbeat],
         heard: Callable[[Heartbeat], None],
-        crashes: CrashTalk | None = None,
+        crashes: CrashListener | None = None,
     ) -> None:
         self._neighbours = neighbours
         self._heartbeat = heartbeat
@@ -75,18 +76,18 @@
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Heartbeat)
         self._crash_decoder = msgspec.msgpack.Decoder(CrashUpdate)
-        self._soon: asyncio.TimerHandle | None = None
-        self._soon_at = float("-inf")
-        self._reach = Reach.ACTIVE_NEARBY
-        self._passed_on: dict[str, float] = {}
-        """When a heartbeat of each far node last went to nodes that stand by."""
+        self._update_timer: asyncio.TimerHandle | None = None
+        self._update_sent_at = float("-inf")
+        self._scope = Scope.ACTIVE_LOCAL
+        self._forwarded_at: dict[str, float] = {}
+        """When each remote node's heartbeat was last forwarded to standby nodes."""
 
     async def start(self, host: str, port: int) -> None:
-        """Listen for datagrams."""
+        """Bind the UDP socket and start receiving datagrams."""
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     async def run(self) -> None:
-        """Send heartbeats until cancelled."""
+        """Send heartbeats when they are due, until cancelled."""
         while True:
             now = self._loop.time()
             self._send(self._neighbours.due(now))
@@ -94,48 +95,50 @@
             await asyncio.sleep(_TICK_SECONDS if active else _STANDBY_TICK_SECONDS)
 
     def close(self) -> None:
-        """Send and hear no more."""
-        if self._soon is not None:
-            self._soon.cancel()
+        """Stop sending and receiving."""
+        if self._update_timer is not None:
+            self._update_timer.cancel()
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
-    def changed(self, reach: Reach = Reach.NEARBY) -> None:
-        """Send a heartbeat soon to the nodes that something new concerns."""
-        self._reach = max(self._reach, reach)
-        if self._soon is None:
+    def schedule_update(self, scope: Scope = Scope.LOCAL) -> None:
+        """Schedule a heartbeat with a state change to the nodes in `scope`."""
+        self._scope = max(self._scope, scope)
+        if self._update_timer is None:
             now = self._loop.time()
-            # Where there are many nodes, news waits for some more of it.
-            rest = self._neighbours.period(Standing(True, True, True), now) * _SOON_PART
-            wait = max(_SOON_SECONDS, self._soon_at + rest - now)
-            self._soon = self._loop.call_later(wait, self._send_soon)
-
-    def sends_changed(self) -> None:
-        """Tell the active nodes nearby soon what this one sends to targets."""
-        self.changed(Reach.ACTIVE_NEARBY)
-
-    def say_now(self) -> None:
-        """Send a heartbeat to all nodes at once."""
-        self._send(self._concerned(Reach.EVERYWHERE, self._loop.time()))
-
-    def tell_crashes(self, news: CrashUpdate, nodes: Sequence[Neighbour]) -> None:
-        """Tell `nodes` of crashes."""
-        data = _CRASHES_MARK + self._encoder.encode(news)
+            # In large fleets the delay is longer, so that one heartbeat carries several changes.
+            interval = (
+                self._neighbours.period(Standing(True, True, True), now) * _UPDATE_PERIOD_FRACTION
+            )
+            wait = max(_MIN_UPDATE_DELAY_SECONDS, self._update_sent_at + interval - now)
+            self._update_timer = self._loop.call_later(wait, self._send_update)
+
+    def schedule_load_update(self) -> None:
+        """Schedule an update about in-flight sends to the active nodes of this data centre."""
+        self.schedule_update(Scope.ACTIVE_LOCAL)
+
+    def send_to_all(self) -> None:
+        """Send a heartbeat to all nodes immediately."""
+        self._send(self._recipients(Scope.ALL, self._loop.time()))
+
+    def send_crash_update(self, update: CrashUpdate, nodes: Sequence[Neighbour]) -> None:
+        """Send a crash update to `nodes`."""
+        data = _CRASH_UPDATE_MARKER + self._encoder.encode(update)
         for node in nodes:
             self._send_to(node.gossip, data)
 
-    def greet(self, addresses: list[str]) -> None:
-        """Send a heartbeat to addresses of which no node is known."""
+    def send_to_addresses(self, addresses: list[str]) -> None:
+        """Send a heartbeat to addresses whose nodes are not known yet."""
         for address in addresses:
-            self._send_to(address, self._encoder.encode(self._heartbeat(_UNKNOWN)))
+            self._send_to(address, self._encoder.encode(self._heartbeat(_UNKNOWN_STANDING)))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        if data.startswith(_CRASHES_MARK):
-            self._hear_crashes(data[len(_CRASHES_MARK) :], addr)
+        if data.startswith(_CRASH_UPDATE_MARKER):
+            self._receive_crash_update(data[len(_CRASH_UPDATE_MARKER) :], addr)
             return
         try:
             heartbeat = self._decoder.decode(data)
@@ -145,58 +148,58 @@
         now = self._loop.time()
         if self._neighbours.is_former(heartbeat.node, now):
             return
-        far = heartbeat.node.data_centre != self._neighbours.me.data_centre
+        is_remote = heartbeat.node.data_centre != self._neighbours.me.data_centre
         if self._neighbours.hear(heartbeat, now):
             _log.info("node heard", node=heartbeat.node.name, boot=heartbeat.node.boot)
-            if not far or self._neighbours.is_relay(now):
+            if not is_remote or self._neighbours.is_relay(now):
                 self._send([heartbeat.node])
             if self._crashes is not None:
-                self._crashes.greet(heartbeat.node)
+                self._crashes.send_recent(heartbeat.node)
         self._heard(heartbeat)
-        if far and addr[0] == heartbeat.node.gossip.rpartition(":")[0]:
-            self._pass_on(heartbeat, data, now)
+        if is_remote and addr[0] == heartbeat.node.gossip.rpartition(":")[0]:
+            self._forward(heartbeat, data, now)
 
-    def _hear_crashes(self, data: bytes, addr: tuple[str | object, int]) -> None:
+    def _receive_crash_update(self, data: bytes, addr: tuple[str | object, int]) -> None:
         if self._crashes is None:
             return
         try:
-            news = self._crash_decoder.decode(data)
+            update = self._crash_decoder.decode(data)
         except msgspec.DecodeError as error:
-            _log.warning("news of crashes not understood", sender=str(addr), error=str(error))
+            _log.warning("crash update cannot be decoded", sender=str(addr), error=str(error))
             return
-        self._crashes.heard(news)
+        self._crashes.heard(update)
 
     def error_received(self, exc: Exception) -> None:
-        # A node that is not there; its silence says as much.
-        _log.debug("heartbeat refused", error=str(exc))
+        # No process listens at that address; the missing heartbeats from the node show the same.
+        _log.debug("heartbeat rejected by the receiving host", error=str(exc))
 
-    def _pass_on(self, heartbeat: Heartbeat, data: bytes, now: float) -> None:
-        """Hand what came from another data centre itself on to the nodes nearby."""
+    def _forward(self, heartbeat: Heartbeat, data: bytes, now: float) -> None:
+        """Forward a heartbeat from another data centre to the nodes of this data centre."""
         name = heartbeat.node.name
         active = self._neighbours.near_active(now)
         for node in active:
             self._send_to(node.gossip, data)
-        passed_on = self._passed_on.get(name, float("-inf"))
-        if now - passed_on < _PASS_ON_SECONDS and not heartbeat.leaving:
+        forwarded_at = self._forwarded_at.get(name, float("-inf"))
+        if now - forwarded_at < _STANDBY_FORWARD_SECONDS and not heartbeat.leaving:
             return
-        self._passed_on[name] = now
-        seldom = self._encoder.encode(heartbeat._replace(period=_PASS_ON_SECONDS))
+        self._forwarded_at[name] = now
+        standby_data = self._encoder.encode(heartbeat._replace(period=_STANDBY_FORWARD_SECONDS))
         names = {node.name for node in active}
         for node in self._neighbours.near(now):
             if node.name not in names:
-                self._send_to(node.gossip, seldom)
+                self._send_to(node.gossip, standby_data)
 
-    def _send_soon(self) -> None:
-        self._soon = None
-        now = self._soon_at = self._loop.time()
-        reach, self._reach = self._reach, Reach.ACTIVE_NEARBY
-        self._send(self._concerned(reach, now))
+    def _send_update(self) -> None:
+        self._update_timer = None
+        now = self._update_sent_at = self._loop.time()
+        scope, self._scope = self._scope, Scope.ACTIVE_LOCAL
+        self._send(self._recipients(scope, now))
 
-    def _concerned(self, reach: Reach, now: float) -> list[Neighbour]:
-        if reach is Reach.ACTIVE_NEARBY:
+    def _recipients(self, scope: Scope, now: float) -> list[Neighbour]:
+        if scope is Scope.ACTIVE_LOCAL:
             return self._neighbours.near_active(now)
         near = self._neighbours.near(now)
-        if reach is Reach.NEARBY:
+        if scope is Scope.LOCAL:
             return near
         return [*near, *self._neighbours.remote_contacts(now)]
 
@@ -212,7 +215,7 @@
     def _send_to(self, address: str, data: bytes) -> None:
         if self._transport is None:
             return
-        if len(data) > _MOST_BYTES:
-            _log.debug("heartbeat larger than a packet", size=len(data))
+        if len(data) > _MAX_DATAGRAM_BYTES:
+            _log.debug("heartbeat exceeds the packet size", size=len(data))
         host, _, port = address.rpartition(":")
         self._transport.sendto(data, (host, int(port)))
--- a/packages/node/src/fielddrift_node/serving/membership.py
+++ b/packages/node/src/fielddrift_node/serving/membership.py
@@ -93,7 +93,7 @@
         for seed in self._settings.seeds:
             host = seed.rpartition(":")[0]
             if host != self._settings.host:
-                self._gossip.greet([f"{host}:{self._settings.gossip_port}"])
+                self._gossip.send_to_addresses([f"{host}:{self._settings.gossip_port}"])
         while True:
             try:
                 await self._platform.write(TABLE, [_write(self._neighbours.me)])
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -23,7 +23,7 @@
 from .duty import Duty
 from .feeds import FeedTools
 from .gateway import Gateway
-from .gossip import Gossip, Reach
+from .gossip import Gossip, Scope
 from .heartbeats import HeartbeatTranslator
 from .membership import Membership
 from .metrics import Metrics, MetricsHandler
@@ -116,7 +116,7 @@
             neighbours=self._neighbours,
             metrics=self._metrics,
             rng=rng,
-            tell=lambda news, nodes: self._gossip.tell_crashes(news, nodes),
+            send_update=lambda update, nodes: self._gossip.send_crash_update(update, nodes),
         )
         self._gossip = Gossip(
             neighbours=self._neighbours,
@@ -139,7 +139,7 @@
         self._operators = OperatorFeed(tools=feed_tools, changed=self._operators_changed)
         self._targets = TargetFeed(
             tools=feed_tools,
-            changed=lambda: self._gossip.changed(Reach.EVERYWHERE),
+            changed=lambda: self._gossip.schedule_update(Scope.ALL),
             returned=self._operators.hurry,
         )
         self._store_tracker = StoreTracker(
@@ -169,7 +169,9 @@
             turn=settings.bounds.turn,
             era_since=lambda: self._era_since,
         )
-        notices = Notices(views=self._views, changed=lambda: self._gossip.changed(Reach.EVERYWHERE))
+        notices = Notices(
+            views=self._views, changed=lambda: self._gossip.schedule_update(Scope.ALL)
+        )
         self._rollout_runner = RolloutRunner(
             views=self._views,
             neighbours=self._neighbours,
@@ -179,7 +181,7 @@
             named_rows=self._named_rows,
             weights_seconds=settings.bounds.weights,
             metrics=self._metrics,
-            announce=lambda: self._gossip.changed(Reach.EVERYWHERE),
+            announce=lambda: self._gossip.schedule_update(Scope.ALL),
         )
         tools = Tools(
             settings=settings,
@@ -190,7 +192,7 @@
             budgets={},
             rng=rng,
             metrics=self._metrics,
-            told=self._gossip.sends_changed,
+            told=self._gossip.schedule_load_update,
             crashes=self._crashes,
             gate=SendGate(views=self._views, neighbours=self._neighbours, bounds=settings.bounds),
             notices=notices,
@@ -286,7 +288,7 @@
         self._views.leaving = Leaving(began, until)
         self._report()
         self._entry_server.leave()
-        self._gossip.say_now()
+        self._gossip.send_to_all()
         _log.info("leaving", busy=self._entry_server.busy)
         try:
             await self._rollout_runner.stop()
@@ -401,7 +403,7 @@
         self._report()
         self._named_rows.look()
         self._store_tracker.look()
-        self._gossip.changed(Reach.EVERYWHERE)
+        self._gossip.schedule_update(Scope.ALL)
 
     def _heard(self, heartbeat: Heartbeat) -> None:
         self._heartbeats.heard(heartbeat)
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -70,7 +70,7 @@
         Raise `Refused` when the budget has no room for it, or the request is held back.
         """
         # Since it came in, it may have ended its targets: at other nodes too.
-        self._tools.crashes.begin(self._call)
+        self._tools.crashes.record_send(self._call)
         now = asyncio.get_running_loop().time()
         budget = self._tools.budget(self._call.service.name)
         if self._reached == 0:
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -186,7 +186,7 @@
         for node in (*nodes, lost):
             await eventually(lambda n=node: len(n.node._neighbours.active(loop.time())) == 3)
         # Its last heartbeat says that the next one comes soon: its silence is soon seen.
-        lost.node._gossip.say_now()
+        lost.node._gossip.send_to_all()
         way.turned_away = True
         gossip = lost.node._gossip
         with (
