--- a/bench/lab/engine.py
+++ b/bench/lab/engine.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from fielddrift_core.prompt import Part
-from fielddrift_core.store_index import room
+from fielddrift_core.store_index import allocated_tokens
 from fielddrift_node.serving.ports import Send
 from fielddrift_node.web.client import Exchange, ExchangeError
 from fielddrift_node.web.messages import Headers, ResponseHead
@@ -186,8 +186,10 @@
         """Return the tokens of memory that `run` takes beside what other runs use."""
         salt = run.send.salt
         used = {part.id for part in run.prompt.shared if self._uses[(salt, part.id)] > 0}
-        shared = sum(room(part.tokens) for part in run.prompt.shared if part.id not in used)
-        return shared + room(run.prompt.parts[-1].tokens + run.prompt.tokens_out)
+        shared = sum(
+            allocated_tokens(part.tokens) for part in run.prompt.shared if part.id not in used
+        )
+        return shared + allocated_tokens(run.prompt.parts[-1].tokens + run.prompt.tokens_out)
 
     def _make_room(self, run: _Run, needed: int) -> bool:
         while self._used + needed > self._sizes.memory:
@@ -222,14 +224,14 @@
                 self._reads.again += part.tokens if key in self._reads.seen else 0
                 self._reads.seen.add(key)
             if self._uses[key] == 0:
-                self._used += room(part.tokens)
+                self._used += allocated_tokens(part.tokens)
             self._uses[key] += 1
-            self._parts[key] = room(part.tokens)
+            self._parts[key] = allocated_tokens(part.tokens)
             self._parts.move_to_end(key)
         own = run.prompt.parts[-1].tokens
         run.unread += own
         self._reads.read += run.unread
-        run.own_room = room(own + run.prompt.tokens_out)
+        run.own_room = allocated_tokens(own + run.prompt.tokens_out)
         self._used += run.own_room
         run.made = 0
         self._running.append(run)
--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -141,7 +141,7 @@
         view = self.views.store_index.view(store)
         if view is not None:
             added = ((salt, part.id, part.tokens),)
-            view.take(KeptChange(view.following, view.following + 1, added, ()))
+            view.apply(KeptChange(view.following, view.following + 1, added, ()))
 
     def store_emptied(self, store: str, life: int) -> None:
         """Hear that a store began anew."""
--- a/bench/lab/stores.py
+++ b/bench/lab/stores.py
@@ -7,7 +7,7 @@
 
 from fielddrift_core.catalog import StoreTraits
 from fielddrift_core.prompt import Part
-from fielddrift_core.store_index import room
+from fielddrift_core.store_index import allocated_tokens
 
 __all__ = ["StoreHost"]
 
@@ -43,12 +43,15 @@
 
     def save(self, salt: str, part: Part, token_bytes: int) -> None:
         """Take a part, if there is room for it; it is told of once it is whole."""
-        if self._used + room(part.tokens) > self.traits.capacity or (salt, part.id) in self._held:
+        if (
+            self._used + allocated_tokens(part.tokens) > self.traits.capacity
+            or (salt, part.id) in self._held
+        ):
             return
         at = self._move(part.tokens * token_bytes)
         if at is None:
             return
-        self._used += room(part.tokens)
+        self._used += allocated_tokens(part.tokens)
         self._loop.call_at(at + _EVENT_SECONDS, self._whole, salt, part, self.life)
 
     def _whole(self, salt: str, part: Part, life: int) -> None:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -26,7 +26,7 @@
 from fielddrift_core.membership import Member, Membership
 from fielddrift_core.model import Configuration, CostWeights, Customer, Target, TargetRole
 from fielddrift_core.names import chained_digests, rank
-from fielddrift_core.routing import POLICIES, Kept, Load, Need, draw
+from fielddrift_core.routing import POLICIES, KeptPrefix, Load, RequestNeeds, sample_targets
 from fielddrift_node.board import Board
 from fielddrift_node.metrics import Metrics
 from fielddrift_node.sightings import IP_UDP_BYTES, Head, Sent, Sightings
@@ -227,7 +227,7 @@
     """Measure a whole decision among 13 to 800 targets."""
     points = []
     rng = random.Random(1)
-    need = Need(8000, 32, CostWeights(), Kept(30, 120_000, 0.1, 0.1))
+    need = RequestNeeds(8000, 32, CostWeights(), KeptPrefix(30, 120_000, 0.1, 0.1))
     for count in (13, 50, 200, 400, 800):
         targets = [
             Target(f"t{n}", TargetRole.ENGINE, "127.0.0.1:1", "dc", "m") for n in range(count)
@@ -247,14 +247,14 @@
 
 
 def _decision(
-    name: str, board: Board, targets: list[Target], need: Need, rng: random.Random
+    name: str, board: Board, targets: list[Target], need: RequestNeeds, rng: random.Random
 ) -> float:
     """Return the time of one decision: hints, draw, views and choice."""
     digests = chained_digests(b"x" * 32 * 1024, salt="s")
 
     def decide() -> None:
         warm = board.warm(digests)
-        drawn = draw(
+        drawn = sample_targets(
             targets,
             warm=(),
             allowed=lambda target: board.takes(target, "v"),
--- a/bench/world.py
+++ b/bench/world.py
@@ -19,7 +19,16 @@
 from fielddrift_core.holding import should_keep
 from fielddrift_core.model import Configuration, StoreHost, Target, TargetRole
 from fielddrift_core.names import rank
-from fielddrift_core.routing import POLICIES, Choice, Kept, Load, Need, Source, TargetView, draw
+from fielddrift_core.routing import (
+    POLICIES,
+    Choice,
+    KeptPrefix,
+    Load,
+    RequestNeeds,
+    Source,
+    TargetView,
+    sample_targets,
+)
 from fielddrift_node.board import Board
 from fielddrift_node.runtime import Links
 
@@ -120,7 +129,7 @@
     def lagged(self, now: float, lag: float) -> Load:
         """Return the load as it was `lag` seconds ago."""
         old = (load for at, load in reversed(self.samples) if at <= now - lag)
-        return next(old, Load())._replace(heard_at=now)
+        return next(old, Load())._replace(received_at=now)
 
     def _remember(self, ask: Ask) -> None:
         self.memory[ask.prompt] = ask.tokens
@@ -294,27 +303,29 @@
             return
         self._at(self.now + refusal.retry_after, self._arrive, ask, returns + 1)
 
-    def _need(self, node: _Node, ask: Ask) -> tuple[Need, str]:
+    def _need(self, node: _Node, ask: Ask) -> tuple[RequestNeeds, str]:
         name = self._placed(ask.prompt)
         tokens = 0 if name in self._dead_stores else self._kept[name].get(ask.prompt, 0)
         size = tokens * self._shape.kv_bytes
         seconds = node.links.import_seconds(self._stores[name], size)
         if self._oracle:
             seconds = max(0.0, self._link[name].free_at - self.now) + size / self._link[name].rate
-        kept = Kept(
+        kept = KeptPrefix(
             blocks=tokens // TOKENS_A_BLOCK,
             size=size,
             seconds=seconds,
             link_seconds=size / self._stores[name].link_rate,
         )
         blocks = max(1, ask.tokens // TOKENS_A_BLOCK)
-        return Need(ask.tokens, blocks, self._shape.weights, kept, self._shape.deadline), name
+        return RequestNeeds(
+            ask.tokens, blocks, self._shape.weights, kept, self._shape.deadline
+        ), name
 
-    def _choose(self, node: _Node, need: Need, ask: Ask, failed: set[str]) -> Choice | None:
+    def _choose(self, node: _Node, need: RequestNeeds, ask: Ask, failed: set[str]) -> Choice | None:
         if self._oracle:
             return self._policy.choose(need, self._true_views(ask, failed), node.rng)
         warm = node.board.warm([str(ask.prompt)])
-        drawn = draw(
+        drawn = sample_targets(
             self._targets,
             warm=[self._engines[name].target for name in warm],
             allowed=lambda t: t.name not in failed and node.board.takes(t, "v1"),
@@ -329,7 +340,7 @@
                 engine.target,
                 engine.load(self.now),
                 memory_blocks=engine.memory.get(ask.prompt, 0) // TOKENS_A_BLOCK,
-                run_seconds=ask.output * self._shape.step,
+                slot_seconds=ask.output * self._shape.step,
             )
             for engine in self._engines.values()
             if not engine.hangs and engine.target.name not in failed
@@ -340,7 +351,7 @@
         node: _Node,
         ask: Ask,
         choice: Choice,
-        need: Need,
+        need: RequestNeeds,
         store: str,
         returns: int,
         deadline: float,
@@ -369,7 +380,7 @@
             Outcome(ask, ttft, computed, None, returns, len(failed), ended_at=first)
         )
 
-    def _import(self, node: _Node, run: int, need: Need, store: str) -> tuple[int, float]:
+    def _import(self, node: _Node, run: int, need: RequestNeeds, store: str) -> tuple[int, float]:
         """Return the tokens imported and when; a late import is given up."""
         size, bound = need.kept.size, IMPORT_FLOOR + IMPORT_FACTOR * need.kept.seconds
         host, link = self._stores[store], self._link[store]
@@ -390,7 +401,7 @@
         self,
         node: _Node,
         ask: Ask,
-        need: Need,
+        need: RequestNeeds,
         store: str,
         returns: int,
         deadline: float,
@@ -433,7 +444,7 @@
         self._remember(other, name, ask)
 
     def _heard_head(self, other: _Node, name: str, run: str, load: Load) -> None:
-        other.board.heard_load(name, load._replace(heard_at=self.now), 1, ("v1",))
+        other.board.heard_load(name, load._replace(received_at=self.now), 1, ("v1",))
         other.board.forget_sent(name, run)
 
     def _end(self, node: _Node, name: str, run: str, ask: Ask) -> None:
--- a/packages/core/src/fielddrift_core/admission.py
+++ b/packages/core/src/fielddrift_core/admission.py
@@ -12,7 +12,7 @@
 import math
 
 from .errors import ErrorKind, Ran, Refusal
-from .routing import PATIENCE_PART
+from .routing import TTFT_LIMIT_FRACTION
 
 __all__ = ["Admission"]
 
@@ -71,7 +71,7 @@
         """
         use = self._uses.setdefault(customer, _Use())
         use.share = share
-        if ttft > (RETURN_PART if returning else PATIENCE_PART) * patience:
+        if ttft > (RETURN_PART if returning else TTFT_LIMIT_FRACTION) * patience:
             detail = f"first token estimated in {ttft:.2f} s, wanted within {patience:.2f} s"
             kind = ErrorKind.OVERLOADED if wait > 0 else ErrorKind.DEADLINE
             return Refusal(kind, detail, Ran.NO, self._come_back(wait, tokens, room_rate, now))
--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -21,11 +21,11 @@
 
 __all__ = [
     "PREFILL_TOKENS_PER_SECOND",
-    "CostWeights",
     "EngineChoice",
     "EngineState",
     "FetchPlan",
     "Holder",
+    "PlacementCosts",
     "PlainTargetState",
     "can_prefill_soon",
     "choose_engine",
@@ -67,10 +67,10 @@
 _LATE_RAMP_START = 0.75
 _LATE_RAMP_END = 1.25
 """The probability of a late response rises from 0 to 1 between these ratios of the estimate
-to the aim."""
+to the latency goal."""
 
 
-class CostWeights(NamedTuple):
+class PlacementCosts(NamedTuple):
     """Weights of the cost terms, relative to the value of a response in time.
 
     They follow the users' data sheets: a `late` response loses four fifths of its value;
@@ -158,7 +158,7 @@
     slowdown: float = 1.0
 
 
-_COST_WEIGHTS = CostWeights()
+_DEFAULT_COSTS = PlacementCosts()
 
 HolderLookup = Callable[[EngineState, Part], Sequence[Holder]]
 
@@ -238,14 +238,14 @@
     *,
     traits: EngineTraits,
     data_centre: str,
-    aim: float,
+    latency_goal: float,
     holders: HolderLookup,
-    cost_weights: CostWeights = _COST_WEIGHTS,
+    costs: PlacementCosts = _DEFAULT_COSTS,
     memory_fraction: float | None = None,
 ) -> EngineChoice | None:
     """Return the cheapest engine for `prompt`, or None if none can begin in time.
 
-    `aim` is the target for the time to the first event, in seconds.  With
+    `latency_goal` is the target for the time to the first event, in seconds.  With
     `memory_fraction`, only engines count that have room for the prompt within that fraction
     of their memory; engines that are loading or failing count only if all of them are.
     """
@@ -262,7 +262,7 @@
                 memory=engine.memory,
                 fetching=fetching,
             )
-            choice = _evaluate(engine, plan, prompt, traits, data_centre, aim, cost_weights)
+            choice = _evaluate(engine, plan, prompt, traits, data_centre, latency_goal, costs)
             in_time = choice.seconds <= engine.left
             if in_time and (best is None or choice.cost < best.cost):
                 best = choice
@@ -301,8 +301,8 @@
     prompt: Prompt,
     traits: EngineTraits,
     data_centre: str,
-    aim: float,
-    cost_weights: CostWeights,
+    latency_goal: float,
+    costs: PlacementCosts,
 ) -> EngineChoice:
     burden = engine.burden
     prefill = (burden.unread + plan.unread) / PREFILL_TOKENS_PER_SECOND
@@ -312,29 +312,29 @@
         waiting += overfull / traits.memory * _TURNOVER_SECONDS
     work = _BASE_SECONDS + prefill + burden.running * _PER_RUN_DELAY_SECONDS + waiting
     seconds = work * engine.slowdown + plan.fetch_seconds
-    cost = cost_weights.late * _late_probability(seconds / aim) + cost_weights.time * seconds / aim
-    cost += cost_weights.recomputed * plan.recomputed / 1000
+    cost = (
+        costs.late * _late_probability(seconds / latency_goal) + costs.time * seconds / latency_goal
+    )
+    cost += costs.recomputed * plan.recomputed / 1000
     # The prefill and the transfers of this run delay the others that wait for them.
     waiting_runs = burden.unread / _MEAN_PREFILL_TOKENS
     delays = (
         plan.unread / PREFILL_TOKENS_PER_SECOND * engine.slowdown * waiting_runs
         + plan.delay_seconds
     )
-    cost += cost_weights.late * delays / aim
-    cost += cost_weights.failure * engine.failures
-    cost += cost_weights.remote if engine.instance.data_centre != data_centre else 0.0
-    cost += cost_weights.outdated if engine.is_outdated else 0.0
+    cost += costs.late * delays / latency_goal
+    cost += costs.failure * engine.failures
+    cost += costs.remote if engine.instance.data_centre != data_centre else 0.0
+    cost += costs.outdated if engine.is_outdated else 0.0
     cost += (
-        cost_weights.loads_next
-        if engine.loads_next and prompt.tokens_out >= LONG_ANSWER_TOKENS
-        else 0.0
+        costs.loads_next if engine.loads_next and prompt.tokens_out >= LONG_ANSWER_TOKENS else 0.0
     )
     cost += _LOADING_COST if engine.loading else 0.0
     return EngineChoice(engine.instance, plan, seconds, cost, burden, work, engine.slowdown)
 
 
 def _late_probability(part: float) -> float:
-    """Return the probability that a response is late whose estimate is `part` times the aim."""
+    """Return the probability that a response is late whose estimate is `part` times the latency goal."""
     return min(1.0, max(0.0, (part - _LATE_RAMP_START) / (_LATE_RAMP_END - _LATE_RAMP_START)))
 
 
@@ -350,7 +350,7 @@
 
 
 _PLAIN_WORK_SECONDS = 0.045
-"""Work of a plain request by the users' data sheets; its aim is a few times longer."""
+"""Work of a plain request by the users' data sheets; its latency goal is a few times longer."""
 _PLAIN_REMOTE_SECONDS = 0.01
 """Cost of a plain target in another data centre; low, since its requests are short."""
 _PLAIN_FAILURE_SECONDS = 2.0
--- a/packages/core/src/fielddrift_core/routing.py
+++ b/packages/core/src/fielddrift_core/routing.py
@@ -18,29 +18,29 @@
 
 __all__ = [
     "POLICIES",
-    "SAMPLE",
+    "SAMPLE_SIZE",
     "Choice",
-    "Kept",
+    "KeptPrefix",
     "Load",
-    "Need",
     "Policy",
+    "RequestNeeds",
     "Source",
     "TargetView",
     "cheapest",
-    "draw",
     "estimate",
     "policy",
+    "sample_targets",
     "wait_seconds",
 ]
 
-SAMPLE = 5
+SAMPLE_SIZE = 5
 # An estimate beyond this part of the patience is a risk, and priced as one.
-PATIENCE_PART = 0.5
+TTFT_LIMIT_FRACTION = 0.5
 LATE_COST = 10.0
-CROWD_WEIGHT = 4.0
+CONGESTION_WEIGHT = 4.0
 _MEMORY_HINT_TRUST = 0.9
-_FAR_SECONDS = 0.003
-_DRAWS = 4
+_REMOTE_SECONDS = 0.003
+_OVERSAMPLING = 4
 
 
 class Source(StrEnum):
@@ -61,7 +61,7 @@
     running: int = 0
     queued: int = 0
     backlog: int = 0
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
 
 
 class TargetView(NamedTuple):
@@ -77,11 +77,11 @@
     sent: int = 0
     sent_tokens: int = 0
     memory_blocks: int = 0
-    near: bool = True
-    run_seconds: float = 1.0
+    is_local: bool = True
+    slot_seconds: float = 1.0
 
 
-class Kept(NamedTuple):
+class KeptPrefix(NamedTuple):
     """The longest kept prefix of a prompt; `seconds` is the time to import it."""
 
     blocks: int = 0
@@ -90,7 +90,7 @@
     link_seconds: float = 0.0
 
 
-class Need(NamedTuple):
+class RequestNeeds(NamedTuple):
     """What a request needs: prompt length in tokens and blocks, and weights.
 
     `patience` is the seconds in which the first token must come.
@@ -99,8 +99,8 @@
     tokens: int
     blocks: int
     weights: CostWeights
-    kept: Kept = Kept()
-    patience: float = 30.0
+    kept: KeptPrefix = KeptPrefix()
+    ttft_limit: float = 30.0
 
 
 class Choice(NamedTuple):
@@ -114,23 +114,23 @@
     cost: float
 
 
-Choose = Callable[[Need, Sequence[TargetView], random.Random], Choice | None]
+ChoiceFunction = Callable[[RequestNeeds, Sequence[TargetView], random.Random], Choice | None]
 
 
 class Policy(NamedTuple):
     """A way to choose, and how many targets it wants drawn; None for all."""
 
-    choose: Choose
+    choose: ChoiceFunction
     sample: int | None
 
 
 POLICIES: dict[str, Policy] = {}
 
 
-def policy(name: str, *, sample: int | None = None) -> Callable[[Choose], Choose]:
+def policy(name: str, *, sample: int | None = None) -> Callable[[ChoiceFunction], ChoiceFunction]:
     """Register the decorated function as the policy called `name`."""
 
-    def register(function: Choose) -> Choose:
+    def register(function: ChoiceFunction) -> ChoiceFunction:
         POLICIES[name] = Policy(function, sample)
         return function
 
@@ -140,7 +140,7 @@
 # --- drawing ---------------------------------------------------------------
 
 
-def draw(
+def sample_targets(
     targets: Sequence[Target],
     *,
     warm: Iterable[Target],
@@ -156,7 +156,7 @@
     if sample is None or len(targets) <= sample:
         return [target for target in targets if allowed(target)]
     drawn: list[Target] = []
-    for target in rng.sample(targets, min(len(targets), _DRAWS * sample)):
+    for target in rng.sample(targets, min(len(targets), _OVERSAMPLING * sample)):
         if len(drawn) == sample:
             break
         if allowed(target):
@@ -177,16 +177,16 @@
     ahead = view.load.running + view.load.queued + view.sent - target.slots + 1
     if ahead <= 0:
         return waiting
-    return max(waiting, ahead * view.run_seconds / target.slots)
+    return max(waiting, ahead * view.slot_seconds / target.slots)
 
 
-def _memory_share(view: TargetView, need: Need) -> float:
+def _memory_share(view: TargetView, need: RequestNeeds) -> float:
     if need.blocks == 0:
         return 0.0
     return _MEMORY_HINT_TRUST * min(view.memory_blocks, need.blocks) / need.blocks
 
 
-def estimate(view: TargetView, need: Need, source: Source) -> Choice:
+def estimate(view: TargetView, need: RequestNeeds, source: Source) -> Choice:
     """Return the choice of `view` with `source`, priced by the need's weights."""
     kept = need.kept
     in_memory = _memory_share(view, need)
@@ -197,33 +197,33 @@
     recomputed = 1.0 - share
     wait = wait_seconds(view)
     ttft = wait + extra + recomputed * need.tokens / view.target.prefill_rate
-    ttft += 0.0 if view.near else _FAR_SECONDS
+    ttft += 0.0 if view.is_local else _REMOTE_SECONDS
     weights = need.weights
     cost = weights.ttft * ttft + weights.recompute * recomputed + weights.link * link
-    cost += LATE_COST * max(0.0, ttft / (PATIENCE_PART * need.patience) - 1.0)
+    cost += LATE_COST * max(0.0, ttft / (TTFT_LIMIT_FRACTION * need.ttft_limit) - 1.0)
     return Choice(view.target, source, ttft, wait, recomputed, cost)
 
 
-def cheapest(need: Need, views: Sequence[TargetView]) -> Choice | None:
+def cheapest(need: RequestNeeds, views: Sequence[TargetView]) -> Choice | None:
     """Return the cheapest pair of target and source among `views`."""
     # Where every target has others waiting, what is computed delays those too.
     crowd = min((wait_seconds(view) for view in views), default=0.0)
     best: Choice | None = None
     for view in views:
         for source in _sources(view, need):
-            choice = _with_crowd(estimate(view, need, source), need, crowd)
+            choice = _with_congestion(estimate(view, need, source), need, crowd)
             if best is None or choice.cost < best.cost:
                 best = choice
     return best
 
 
-def _with_crowd(choice: Choice, need: Need, crowd: float) -> Choice:
+def _with_congestion(choice: Choice, need: RequestNeeds, congestion_seconds: float) -> Choice:
     computed = choice.recomputed * need.tokens / choice.target.prefill_rate
-    extra = need.weights.ttft * CROWD_WEIGHT * crowd * computed
+    extra = need.weights.ttft * CONGESTION_WEIGHT * congestion_seconds * computed
     return choice._replace(cost=choice.cost + extra)
 
 
-def _sources(view: TargetView, need: Need) -> list[Source]:
+def _sources(view: TargetView, need: RequestNeeds) -> list[Source]:
     sources = [Source.MEMORY if view.memory_blocks else Source.RECOMPUTE]
     if need.kept.blocks > view.memory_blocks:
         sources.append(Source.IMPORT)
@@ -233,9 +233,11 @@
 # --- policies --------------------------------------------------------------
 
 
-@policy("cost", sample=SAMPLE)
+@policy("cost", sample=SAMPLE_SIZE)
 @policy("cost-all")
-def choose_cheapest(need: Need, views: Sequence[TargetView], rng: random.Random) -> Choice | None:
+def choose_cheapest(
+    need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
+) -> Choice | None:
     """Take the cheapest pair.
 
     Among all targets this is best on fresh loads and herds on old ones.
@@ -244,14 +246,16 @@
 
 
 @policy("random")
-def choose_random(need: Need, views: Sequence[TargetView], rng: random.Random) -> Choice | None:
+def choose_random(
+    need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
+) -> Choice | None:
     """Baseline: any target, importing what is kept."""
-    return _plain(need, rng.choice(views)) if views else None
+    return _with_import(need, rng.choice(views)) if views else None
 
 
 @policy("least-loaded")
 def choose_least_loaded(
-    need: Need, views: Sequence[TargetView], rng: random.Random
+    need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
 ) -> Choice | None:
     """Baseline: the shortest queue by the target's own word, recomputing."""
     if not views:
@@ -261,7 +265,9 @@
 
 
 @policy("sticky")
-def choose_sticky(need: Need, views: Sequence[TargetView], rng: random.Random) -> Choice | None:
+def choose_sticky(
+    need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
+) -> Choice | None:
     """Baseline: the target with most of the prompt in memory, else any."""
     if not views:
         return None
@@ -271,7 +277,9 @@
 
 
 @policy("always-recompute")
-def choose_recompute(need: Need, views: Sequence[TargetView], rng: random.Random) -> Choice | None:
+def choose_recompute(
+    need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
+) -> Choice | None:
     """Baseline: the least estimated wait, kept context unused."""
     if not views:
         return None
@@ -280,12 +288,14 @@
 
 
 @policy("always-import")
-def choose_import(need: Need, views: Sequence[TargetView], rng: random.Random) -> Choice | None:
+def choose_import(
+    need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
+) -> Choice | None:
     """Baseline: the least estimated wait, importing whatever is kept."""
     if not views:
         return None
-    return _plain(need, min(views, key=lambda v: wait_seconds(v)))
+    return _with_import(need, min(views, key=lambda v: wait_seconds(v)))
 
 
-def _plain(need: Need, view: TargetView) -> Choice:
+def _with_import(need: RequestNeeds, view: TargetView) -> Choice:
     return estimate(view, need, Source.IMPORT if need.kept.blocks else Source.RECOMPUTE)
--- a/packages/core/src/fielddrift_core/store_index.py
+++ b/packages/core/src/fielddrift_core/store_index.py
@@ -17,29 +17,29 @@
 
 __all__ = ["KeptChange", "StoreIndex", "StoreView"]
 
-_BLOCK = 16
+_BLOCK_TOKENS = 16
 """Tokens that a store gives out at once."""
-_FILL_PART = 0.92
+_MAX_FILL_FRACTION = 0.92
 """Part of a store that is filled; the rest is for saves that other nodes began."""
-_LARGEST_PART = 0.02
+_MAX_PART_FRACTION = 0.02
 """Part of a store that one part of a prompt may take: the quick, small stores keep
 many small parts, for which the wait before a move counts most."""
 _LATE_SECONDS = 0.05
 """Lateness of a store from which saves go elsewhere: twice what a large part's move takes."""
-_NEAR_FACTOR = 4.0
+_LOCAL_WEIGHT_FACTOR = 4.0
 """Preference for a store in the engine's data centre: moves there take half the time."""
-_MOST_CHANGES = 200
+_MAX_CHANGES = 200
 """Changes that are remembered: some minutes' worth, at one in a second or so."""
-_SAVING_SECONDS = 3.0
+_SAVE_TIMEOUT_SECONDS = 3.0
 """A save that was not told of after so long is taken for lost."""
 
 
 _KeptAt = dict[tuple[str, str], dict[str, int]]
 
 
-def room(tokens: int) -> int:
+def allocated_tokens(tokens: int) -> int:
     """Return the tokens of room that a part of `tokens` takes."""
-    return -(-tokens // _BLOCK) * _BLOCK
+    return -(-tokens // _BLOCK_TOKENS) * _BLOCK_TOKENS
 
 
 class KeptChange(NamedTuple):
@@ -68,12 +68,12 @@
         self.following = 0
         self.held: dict[tuple[str, str], int] = {}
         self.used = 0
-        self.heard_at = float("-inf")
+        self.received_at = float("-inf")
         """When this node itself last heard the store; -inf when others do."""
-        self._changes: deque[KeptChange] = deque(maxlen=_MOST_CHANGES)
+        self._changes: deque[KeptChange] = deque(maxlen=_MAX_CHANGES)
 
     @property
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Return whether what the store keeps is known."""
         return self.life is not None
 
@@ -91,7 +91,7 @@
         for salt, part, tokens in held:
             self.add(salt, part, tokens)
 
-    def lacks(self, life: int, following: int) -> bool:
+    def is_behind(self, life: int, following: int) -> bool:
         """Return whether a view as of event `following` of `life` tells more than this one.
 
         Nodes hear a store one after the other: a copy from one that is behind would
@@ -99,7 +99,7 @@
         """
         return self.life != life or self.following < following
 
-    def take(self, change: KeptChange) -> bool:
+    def apply(self, change: KeptChange) -> bool:
         """Take a change; False, and nothing is taken, when one before it is missing."""
         if change.since != self.following:
             return False
@@ -112,7 +112,7 @@
             self._changes.append(change)
         return True
 
-    def changes(self, since: int) -> tuple[KeptChange, ...] | None:
+    def changes_since(self, since: int) -> tuple[KeptChange, ...] | None:
         """Return the changes after event number `since`, None when some are not known."""
         if since == self.following:
             return ()
@@ -124,7 +124,7 @@
     def add(self, salt: str, part: str, tokens: int) -> None:
         """Note a part that is whole."""
         if (salt, part) not in self.held:
-            self.used += room(tokens)
+            self.used += allocated_tokens(tokens)
         self.held[(salt, part)] = tokens
         self._kept_at.setdefault((salt, part), {})[self.traits.address] = tokens
 
@@ -132,7 +132,7 @@
         """Note a part that is gone."""
         tokens = self.held.pop((salt, part), None)
         if tokens is not None:
-            self.used -= room(tokens)
+            self.used -= allocated_tokens(tokens)
             self._forget((salt, part))
 
     def _clear(self) -> None:
@@ -148,7 +148,7 @@
             self._kept_at.pop(key, None)
 
 
-class _Saving(NamedTuple):
+class _PendingSave(NamedTuple):
     store: str
     until: float
 
@@ -159,7 +159,7 @@
     def __init__(self) -> None:
         self._views: dict[str, StoreView] = {}
         self._kept_at: _KeptAt = {}
-        self._saving: dict[tuple[str, str], _Saving] = {}
+        self._saving: dict[tuple[str, str], _PendingSave] = {}
 
     def configure(self, stores: Iterable[StoreTraits]) -> None:
         """Follow exactly `stores`."""
@@ -184,9 +184,9 @@
     def marks(self, now: float) -> dict[str, KeptMark]:
         """Return how far this node itself has heard each store."""
         return {
-            address: KeptMark(view.life, view.following, now - view.heard_at)
+            address: KeptMark(view.life, view.following, now - view.received_at)
             for address, view in self._views.items()
-            if view.life is not None and view.heard_at > float("-inf")
+            if view.life is not None and view.received_at > float("-inf")
         }
 
     def holders(self, salt: str, part: Part) -> list[StoreTraits]:
@@ -194,7 +194,7 @@
         kept = self._kept_at.get((salt, part.id), {})
         return [self._views[store].traits for store, held in kept.items() if held >= part.tokens]
 
-    def saving(self, salt: str, part: Part, now: float) -> bool:
+    def is_saving(self, salt: str, part: Part, now: float) -> bool:
         """Return whether a save of `part` is under way."""
         saving = self._saving.get((salt, part.id))
         return saving is not None and now < saving.until
@@ -215,7 +215,7 @@
         tells by how many seconds a store is late now.
         """
         fitting = [view for view in self._views.values() if self._takes(view, part)]
-        suited = [v for v in fitting if part.tokens <= _LARGEST_PART * v.traits.capacity]
+        suited = [v for v in fitting if part.tokens <= _MAX_PART_FRACTION * v.traits.capacity]
         prompt_ones = [v for v in suited or fitting if late(v.traits.address) < _LATE_SECONDS]
         fitting = prompt_ones or suited or fitting
         if not fitting:
@@ -224,18 +224,22 @@
             (v.traits.address, v.traits.link_rate * self._nearness(v, data_centre)) for v in fitting
         ]
         address = rank(part.id, weights)[0]
-        self._saving[(salt, part.id)] = _Saving(address, now + _SAVING_SECONDS)
+        self._saving[(salt, part.id)] = _PendingSave(address, now + _SAVE_TIMEOUT_SECONDS)
         return self._views[address].traits
 
-    def not_saved(self, salt: str, part: str) -> None:
+    def cancel_save(self, salt: str, part: str) -> None:
         """Forget the save of a part, by id: the engine that was to make it turned it away."""
         self._saving.pop((salt, part), None)
 
     def _nearness(self, view: StoreView, data_centre: str) -> float:
-        return _NEAR_FACTOR if view.traits.data_centre == data_centre else 1.0
+        return _LOCAL_WEIGHT_FACTOR if view.traits.data_centre == data_centre else 1.0
 
     def _takes(self, view: StoreView, part: Part) -> bool:
-        return view.known and view.used + room(part.tokens) <= _FILL_PART * view.traits.capacity
+        return (
+            view.is_known
+            and view.used + allocated_tokens(part.tokens)
+            <= _MAX_FILL_FRACTION * view.traits.capacity
+        )
 
     def expire(self, now: float) -> None:
         """Forget saves that were told of, or are lost."""
@@ -246,7 +250,7 @@
         """Return the salts under which any store keeps parts."""
         return {salt for view in self._views.values() for salt, _ in view.held}
 
-    def under(self, salts: Collection[str]) -> dict[str, list[tuple[str, str]]]:
+    def keys_under(self, salts: Collection[str]) -> dict[str, list[tuple[str, str]]]:
         """Return, by store, the (salt, part) that are kept under one of `salts`."""
         found: dict[str, list[tuple[str, str]]] = {}
         for address, view in self._views.items():
--- a/packages/node/src/fielddrift_node/board.py
+++ b/packages/node/src/fielddrift_node/board.py
@@ -44,7 +44,7 @@
 
     def sent_since(self) -> tuple[int, int]:
         """Return the runs, and their tokens, that the last load cannot have counted."""
-        recent = [tokens for at, tokens in self.sent.values() if at > self.load.heard_at]
+        recent = [tokens for at, tokens in self.sent.values() if at > self.load.received_at]
         return len(recent), sum(recent)
 
 
@@ -229,7 +229,7 @@
         models = {m for m, at in list(self._active.items()) if now - at < idle}
         with self._lock:
             old = [
-                (self._note(t.name).load.heard_at, t.name)
+                (self._note(t.name).load.received_at, t.name)
                 for t in configuration.targets.values()
                 if t.serves in models and t.role is TargetRole.ENGINE
                 if not self._pauses.left(t.name, now)
@@ -245,8 +245,8 @@
             sent=sent,
             sent_tokens=tokens,
             memory_blocks=memory_blocks,
-            near=target.data_centre == self._data_centre,
-            run_seconds=note.run_seconds,
+            is_local=target.data_centre == self._data_centre,
+            slot_seconds=note.run_seconds,
         )
 
     def _note(self, name: str) -> TargetNote:
--- a/packages/node/src/fielddrift_node/exchange.py
+++ b/packages/node/src/fielddrift_node/exchange.py
@@ -11,7 +11,7 @@
 from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.lost_runs import LostRun
 from fielddrift_core.model import Configuration, Customer, Deployment, Target
-from fielddrift_core.routing import Choice, Need
+from fielddrift_core.routing import Choice, RequestNeeds
 from result import Result
 from werkzeug.wrappers import Request
 
@@ -75,7 +75,7 @@
         self.targets: tuple[Target, ...] = ()
         self.digests: list[str] = []
         self.found: Found | None = None
-        self.need: Need | None = None
+        self.need: RequestNeeds | None = None
         self.choice: Choice | None = None
         self.claim: Claim | None = None
         self.failed: set[str] = set()
--- a/packages/node/src/fielddrift_node/filters/admit.py
+++ b/packages/node/src/fielddrift_node/filters/admit.py
@@ -4,7 +4,7 @@
 
 from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.model import Target
-from fielddrift_core.routing import Choice, draw
+from fielddrift_core.routing import Choice, sample_targets
 from result import Err, Ok, Result
 
 from .. import clock
@@ -34,7 +34,7 @@
     runtime = exchange.runtime
     warm = runtime.board.warm(exchange.digests)
     known = exchange.configuration.targets
-    drawn = draw(
+    drawn = sample_targets(
         exchange.targets,
         warm=[known[name] for name in warm if name in known],
         allowed=lambda target: allows(exchange, target),
--- a/packages/node/src/fielddrift_node/filters/locate.py
+++ b/packages/node/src/fielddrift_node/filters/locate.py
@@ -4,7 +4,7 @@
 
 from fielddrift_core.errors import Refusal
 from fielddrift_core.names import chained_digests, prefix_name
-from fielddrift_core.routing import Kept, Need
+from fielddrift_core.routing import KeptPrefix, RequestNeeds
 from result import Ok, Result
 
 from .. import clock
@@ -29,12 +29,12 @@
         began = clock.now()
         exchange.found = _find(exchange)
         runtime.metrics.time("locate", clock.now() - began)
-    exchange.need = Need(
+    exchange.need = RequestNeeds(
         tokens=len(prompt) // BYTES_A_TOKEN,
         blocks=len(exchange.digests),
         weights=exchange.deployment.weights,
         kept=_kept(exchange),
-        patience=exchange.left,
+        ttft_limit=exchange.left,
     )
     return Ok(exchange)
 
@@ -50,11 +50,11 @@
     return exchange.runtime.stores.find(exchange.configuration, name, exchange.digests)
 
 
-def _kept(exchange: Exchange) -> Kept:
+def _kept(exchange: Exchange) -> KeptPrefix:
     if exchange.found is None:
-        return Kept()
+        return KeptPrefix()
     manifest, store = exchange.found
-    return Kept(
+    return KeptPrefix(
         blocks=manifest.blocks,
         size=manifest.size,
         seconds=exchange.runtime.links.import_seconds(store, manifest.size),
--- a/packages/node/src/fielddrift_node/queries.py
+++ b/packages/node/src/fielddrift_node/queries.py
@@ -159,7 +159,7 @@
     rows = []
     for target in runtime.config.current.targets.values():
         load, own, breaker = runtime.board.load(target.name)
-        heard = load.heard_at > float("-inf")
+        heard = load.received_at > float("-inf")
         rows.append(
             {
                 "target": target.name,
@@ -168,7 +168,7 @@
                 "backlog": load.backlog,
                 "own": own,
                 "breaker": breaker,
-                "age": round(now - load.heard_at, 1) if heard else None,
+                "age": round(now - load.received_at, 1) if heard else None,
             }
         )
     return rows
--- a/packages/node/src/fielddrift_node/serving/beliefs.py
+++ b/packages/node/src/fielddrift_node/serving/beliefs.py
@@ -138,7 +138,7 @@
             following=view.following,
             parts=len(view.held),
             tokens=view.used,
-            heard_seconds=_age(view.heard_at, now),
+            heard_seconds=_age(view.received_at, now),
         )
         for view in views.store_index.views
     ]
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -364,7 +364,7 @@
         views = self._tools.views
         views.memory.not_sent(engine, ordered.salt, ordered.kept, send=ordered.send)
         for part in ordered.saved:
-            views.store_index.not_saved(ordered.salt, part)
+            views.store_index.cancel_save(ordered.salt, part)
 
     def _heard_first(self, call: Call, choice: EngineChoice, began: float) -> None:
         """Learn from the time that the first event took."""
--- a/packages/node/src/fielddrift_node/serving/kept.py
+++ b/packages/node/src/fielddrift_node/serving/kept.py
@@ -112,9 +112,9 @@
         store_index = self._views.store_index
         if store_index.holders(salt, part):
             return "read-quicker"
-        if store_index.saving(salt, part, now):
+        if store_index.is_saving(salt, part, now):
             return "read-saving"
-        return "read-full" if any(view.known for view in store_index.views) else "read-unknown"
+        return "read-full" if any(view.is_known for view in store_index.views) else "read-unknown"
 
     def _until(self, call: Call, choice: EngineChoice, now: float) -> int | None:
         """Return when a fetch should be given up, so that reading can still be in time."""
@@ -142,7 +142,7 @@
         for part, source in zip(prompt.parts, sources, strict=True):
             store = None
             shared = part in prompt.shared
-            if shared and not source and not store_index.saving(salt, part, now):
+            if shared and not source and not store_index.is_saving(salt, part, now):
                 held = store_index.holders(salt, part)
                 store = (
                     None
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -200,7 +200,7 @@
             self._sights(call, tried, lookup, _Wanted(part, sends), now),
             traits=traits,
             data_centre=self._tools.settings.data_centre,
-            aim=call.route.latency_goal,
+            latency_goal=call.route.latency_goal,
             holders=lookup.holders,
             memory_fraction=part,
         )
--- a/packages/node/src/fielddrift_node/serving/sharing.py
+++ b/packages/node/src/fielddrift_node/serving/sharing.py
@@ -152,7 +152,7 @@
         if view is None or view.life is None:
             return None
         copy = KeptCopy(ask.store, view.life, view.following, clock)
-        changes = view.changes(ask.following) if ask.life == view.life else None
+        changes = view.changes_since(ask.following) if ask.life == view.life else None
         if changes is not None:
             return copy._replace(changes=changes)
         held = tuple((salt, part, tokens) for (salt, part), tokens in view.held.items())
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -121,7 +121,7 @@
         self._missing.clear()
         for view in self._views.store_index.views:
             view.unknown()
-            view.heard_at = float("-inf")
+            view.received_at = float("-inf")
 
     # --- who listens ------------------------------------------------------------
 
@@ -133,7 +133,7 @@
         """
         marks = self._reached(self._neighbours.kept(now), now)
         capacity = self._neighbours.capacity
-        known = {view.traits.address: view.known for view in self._views.store_index.views}
+        known = {view.traits.address: view.is_known for view in self._views.store_index.views}
         if not self._neighbours.is_active(now):
             # Heartbeats tell a node that stands by nothing of stores: it asks an active one.
             self._listener = reader(_LISTENER_KEY, marks, capacity=capacity)
@@ -179,7 +179,7 @@
         lost = False
         while True:
             try:
-                if not view.known:
+                if not view.is_known:
                     await self._list(view)
                 await self._hear(view)
                 if lost:
@@ -214,9 +214,9 @@
             source = self._sources.get(store)
             if source is None or store in self._loops:
                 continue
-            view.heard_at = float("-inf")
+            view.received_at = float("-inf")
             mark = marks.get(source, {}).get(store)
-            if mark is None or view.lacks(mark.life, mark.following):
+            if mark is None or view.is_behind(mark.life, mark.following):
                 asked.setdefault(source, []).append(KeptAsk(store, view.life, view.following))
         for source, questions in asked.items():
             await self._copy_from(source, questions)
@@ -238,11 +238,11 @@
         view = self._views.store_index.view(copy.store)
         if view is None or copy.store in self._loops:
             return
-        if not view.lacks(copy.life, copy.following):
+        if not view.is_behind(copy.life, copy.following):
             return
         if copy.held is not None:
             view.listed(copy.life, copy.following, copy.held)
-        elif not all(view.take(change) for change in copy.changes):
+        elif not all(view.apply(change) for change in copy.changes):
             view.unknown()
         self._views.heard_clock(copy.clock, asyncio.get_running_loop().time())
 
@@ -256,7 +256,7 @@
             listed.following,
             [(held.salt, held.id, held.tokens) for held in listed.held],
         )
-        view.heard_at = now
+        view.received_at = now
         self._views.heard_clock(listed.clock, now)
         _log.info(
             "store listed",
@@ -285,8 +285,8 @@
             added=tuple((held.salt, held.id, held.tokens) for held in events.added),
             dropped=tuple((held.salt, held.id) for held in events.dropped),
         )
-        view.take(change)
-        view.heard_at = now
+        view.apply(change)
+        view.received_at = now
         self._views.heard_clock(events.clock, now)
 
     # --- freeing --------------------------------------------------------------
@@ -306,7 +306,7 @@
         views = self._views
         now = asyncio.get_running_loop().time()
         old = {salt for salt, at in self._used_at.items() if now - at > _FREE_AFTER_SECONDS}
-        for address, keys in views.store_index.under(old).items():
+        for address, keys in views.store_index.keys_under(old).items():
             view = views.store_index.view(address)
             if view is None or view.life is None or self._paused(view):
                 continue
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -22,14 +22,14 @@
 )
 from fielddrift_core.routing import (
     POLICIES,
-    SAMPLE,
+    SAMPLE_SIZE,
     Choice,
-    Kept,
+    KeptPrefix,
     Load,
-    Need,
+    RequestNeeds,
     Source,
     TargetView,
-    draw,
+    sample_targets,
 )
 from fielddrift_node.tickets import Tickets
 
@@ -45,42 +45,42 @@
     return TargetView(target(number), **fields)  # type: ignore[arg-type]
 
 
-def choose(need: Need, views: list[TargetView], policy: str = "cost") -> Choice:
+def choose(need: RequestNeeds, views: list[TargetView], policy: str = "cost") -> Choice:
     choice = POLICIES[policy].choose(need, views, random.Random(1))
     assert choice is not None
     return choice
 
 
 class RoutingTest(unittest.TestCase):
-    KEPT = Kept(blocks=30, size=120_000, seconds=0.05, link_seconds=0.05)
+    KEPT = KeptPrefix(blocks=30, size=120_000, seconds=0.05, link_seconds=0.05)
 
     def test_a_quick_import_beats_computing(self) -> None:
-        choice = choose(Need(8000, 32, CostWeights(), self.KEPT), [view(1)])
+        choice = choose(RequestNeeds(8000, 32, CostWeights(), self.KEPT), [view(1)])
         self.assertIs(choice.source, Source.IMPORT)
 
     def test_a_crowded_link_is_not_waited_for(self) -> None:
         kept = self.KEPT._replace(seconds=5.0)
-        choice = choose(Need(8000, 32, CostWeights(), kept), [view(1)])
+        choice = choose(RequestNeeds(8000, 32, CostWeights(), kept), [view(1)])
         self.assertIs(choice.source, Source.RECOMPUTE)
 
     def test_a_thin_links_weights_prefer_the_import(self) -> None:
         kept = self.KEPT._replace(seconds=2.0)
         weights = CostWeights(ttft=0.1, recompute=3.0, link=0.3)
-        choice = choose(Need(8000, 32, weights, kept), [view(1)])
+        choice = choose(RequestNeeds(8000, 32, weights, kept), [view(1)])
         self.assertIs(choice.source, Source.IMPORT)
 
     def test_memory_beats_an_idle_target(self) -> None:
-        choice = choose(Need(8000, 32, CostWeights()), [view(1), view(2, memory_blocks=32)])
+        choice = choose(RequestNeeds(8000, 32, CostWeights()), [view(1), view(2, memory_blocks=32)])
         self.assertEqual((choice.target.name, choice.source), ("t2", Source.MEMORY))
 
     def test_own_sends_since_the_load_count(self) -> None:
         views = [view(1, sent=20, sent_tokens=90_000), view(2, load=Load(running=3))]
-        self.assertEqual(choose(Need(8000, 32, CostWeights()), views).target.name, "t2")
+        self.assertEqual(choose(RequestNeeds(8000, 32, CostWeights()), views).target.name, "t2")
 
     def test_what_would_come_too_late_is_avoided_whatever_the_weights(self) -> None:
         weights = CostWeights(ttft=0.0, recompute=3.0, link=0.0)
         kept = self.KEPT._replace(seconds=25.0)
-        choice = choose(Need(8000, 32, weights, kept, patience=30.0), [view(1)])
+        choice = choose(RequestNeeds(8000, 32, weights, kept, ttft_limit=30.0), [view(1)])
         self.assertIs(choice.source, Source.RECOMPUTE)
 
     def test_nodes_on_the_same_old_load_do_not_herd(self) -> None:
@@ -98,7 +98,7 @@
         counts: Counter[str] = Counter()
         for node in range(nodes * max(1, 400 // nodes)):
             rng = random.Random(node)
-            drawn = draw(
+            drawn = sample_targets(
                 [target(n) for n in range(22)],
                 warm=(),
                 allowed=lambda t: True,
@@ -108,26 +108,26 @@
             views = [
                 view(int(t.name[1:]), load=Load(running=loads[int(t.name[1:])])) for t in drawn
             ]
-            choice = POLICIES[policy].choose(Need(8000, 32, CostWeights()), views, rng)
+            choice = POLICIES[policy].choose(RequestNeeds(8000, 32, CostWeights()), views, rng)
             assert choice is not None
             counts[choice.target.name] += 1
         return max(counts.values()) / (sum(counts.values()) / 22)
 
     def test_a_draw_takes_few_and_the_warm_ones(self) -> None:
         targets = [target(n) for n in range(800)]
-        drawn = draw(
+        drawn = sample_targets(
             targets,
             warm=[targets[5]],
             allowed=lambda t: t.name != "t7",
-            sample=SAMPLE,
+            sample=SAMPLE_SIZE,
             rng=random.Random(1),
         )
-        self.assertLessEqual(len(drawn), SAMPLE + 1)
+        self.assertLessEqual(len(drawn), SAMPLE_SIZE + 1)
         self.assertIn("t5", [t.name for t in drawn])
 
     def test_a_draw_finds_the_only_one_that_is_allowed(self) -> None:
         targets = [target(n) for n in range(800)]
-        drawn = draw(
+        drawn = sample_targets(
             targets, warm=(), allowed=lambda t: t.name == "t7", sample=3, rng=random.Random(1)
         )
         self.assertEqual([t.name for t in drawn], ["t7"])
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -30,40 +30,40 @@
 
     def _hear(self, since: int, following: int, part: str) -> None:
         change = KeptChange(since, following, (("s", part, 50),), ())
-        self.assertTrue(self.listener.take(change))
+        self.assertTrue(self.listener.apply(change))
 
     def test_a_copy_takes_the_changes_it_lacks(self) -> None:
         copy = StoreView(traits=SLOW)
         copy.listed(7, 10, [("s", "aa", 100)])
         self._hear(10, 12, "bb")
         self._hear(12, 15, "cc")
-        changes = self.listener.changes(copy.following)
+        changes = self.listener.changes_since(copy.following)
         assert changes is not None
         for change in changes:
-            self.assertTrue(copy.take(change))
+            self.assertTrue(copy.apply(change))
         self.assertEqual((copy.held, copy.used), (self.listener.held, self.listener.used))
-        self.assertEqual(self.listener.changes(15), ())
+        self.assertEqual(self.listener.changes_since(15), ())
 
     def test_a_copy_with_a_gap_is_told_that_changes_are_not_known(self) -> None:
         self._hear(10, 12, "bb")
-        self.assertIsNone(self.listener.changes(9))
-        self.assertIsNone(self.listener.changes(11))
+        self.assertIsNone(self.listener.changes_since(9))
+        self.assertIsNone(self.listener.changes_since(11))
         copy = StoreView(traits=SLOW)
         copy.listed(7, 9, [])
-        self.assertFalse(copy.take(KeptChange(10, 12, (), (("s", "aa"),))))
+        self.assertFalse(copy.apply(KeptChange(10, 12, (), (("s", "aa"),))))
         self.assertEqual((copy.following, copy.held), (9, {}))
 
     def test_a_view_takes_nothing_from_one_that_is_behind(self) -> None:
-        self.assertFalse(self.listener.lacks(7, 9))
-        self.assertFalse(self.listener.lacks(7, 10))
-        self.assertTrue(self.listener.lacks(7, 11))
-        self.assertTrue(self.listener.lacks(8, 1))
+        self.assertFalse(self.listener.is_behind(7, 9))
+        self.assertFalse(self.listener.is_behind(7, 10))
+        self.assertTrue(self.listener.is_behind(7, 11))
+        self.assertTrue(self.listener.is_behind(8, 1))
 
     def test_old_changes_are_forgotten_not_invented(self) -> None:
         for number in range(10, 500):
             self._hear(number, number + 1, f"p{number}")
-        self.assertIsNone(self.listener.changes(10))
-        self.assertEqual(len(self.listener.changes(499) or ()), 1)
+        self.assertIsNone(self.listener.changes_since(10))
+        self.assertEqual(len(self.listener.changes_since(499) or ()), 1)
 
 
 class TestPlacement(unittest.TestCase):
@@ -75,7 +75,7 @@
             sights,
             traits=ENGINE,
             data_centre="a",
-            aim=0.5,
+            latency_goal=0.5,
             holders=lambda _, part: holders.get(part.id, []),
         )
         assert choice is not None
@@ -130,7 +130,12 @@
         self.assertEqual(self._choose([in_time, heavy], {}).instance.name, "light")  # type: ignore[attr-defined]
         self.assertIsNone(
             choose_engine(
-                PROMPT, [late], traits=ENGINE, data_centre="a", aim=0.5, holders=lambda *_: []
+                PROMPT,
+                [late],
+                traits=ENGINE,
+                data_centre="a",
+                latency_goal=0.5,
+                holders=lambda *_: [],
             )
         )
 
@@ -164,8 +169,8 @@
     def test_a_save_is_not_begun_twice_until_it_is_lost(self) -> None:
         part = Part("p", 500)
         self.store_index.save("s", part, 0.0)
-        self.assertTrue(self.store_index.saving("s", part, 1.0))
-        self.assertFalse(self.store_index.saving("s", part, 10.0))
+        self.assertTrue(self.store_index.is_saving("s", part, 1.0))
+        self.assertFalse(self.store_index.is_saving("s", part, 10.0))
 
     def test_nothing_counts_as_kept_in_a_store_that_is_unknown(self) -> None:
         view = self.store_index.views[0]
@@ -190,5 +195,7 @@
         view.add("m.2.", "new", 100)
         view.add("m.2.ana", "own", 100)
         self.assertEqual(self.store_index.salts(), {"m.1.", "m.2.", "m.2.ana"})
-        self.assertEqual(self.store_index.under({"m.1."}), {view.traits.address: [("m.1.", "old")]})
-        self.assertEqual(self.store_index.under({"m."}), {})
+        self.assertEqual(
+            self.store_index.keys_under({"m.1."}), {view.traits.address: [("m.1.", "old")]}
+        )
+        self.assertEqual(self.store_index.keys_under({"m."}), {})
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -156,7 +156,7 @@
 
     async def test_a_save_that_a_refused_send_was_to_make_goes_to_the_next(self) -> None:
         """An engine that turned the prompt away saves nothing of it, and holds nothing."""
-        await eventually(lambda: all(v.known for v in self.node.node.views.store_index.views))
+        await eventually(lambda: all(v.is_known for v in self.node.node.views.store_index.views))
         self.faults[:] = ["shed"]
         await ask(self.node, "/long/x", **prompt())
         (ran,) = self._runs()
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -71,7 +71,12 @@
             )
             for name, pace in (("slow", 2.0), ("usual", 1.0))
         ]
-        options = {"traits": _TRAITS, "data_centre": "a", "aim": 0.5, "holders": lambda *_: ()}
+        options = {
+            "traits": _TRAITS,
+            "data_centre": "a",
+            "latency_goal": 0.5,
+            "holders": lambda *_: (),
+        }
         slow = choose_engine(prompt, sights[:1], **options)
         assert slow is not None
         self.assertGreater(slow.seconds, 2 * 10_000 / PREFILL_TOKENS_PER_SECOND)
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -37,7 +37,7 @@
         nodes = [await self.fleet.node(f"node-{n}") for n in range(4)]
 
         def follows(node: RunningNode) -> bool:
-            return all(view.known for view in node.node.views.store_index.views)
+            return all(view.is_known for view in node.node.views.store_index.views)
 
         # Three are active, and know what is kept; one stands by, and does not.
         await eventually(lambda: sum(follows(node) for node in nodes) == 3)
--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -242,7 +242,7 @@
     async def test_shared_parts_are_saved_once_and_fetched_when_they_are_whole(self) -> None:
         store_index = self.node.node.views.store_index
         await eventually(
-            lambda: all(view.known for view in store_index.views) and bool(store_index.views)
+            lambda: all(view.is_known for view in store_index.views) and bool(store_index.views)
         )
         await ask(self.node, "/chat/x", **prompt())
         await ask(self.node, "/chat/x", request_id="r2", **prompt())
--- a/tests/test_room_line.py
+++ b/tests/test_room_line.py
@@ -27,7 +27,7 @@
         sights,
         traits=TRAITS,
         data_centre="a",
-        aim=1.2,
+        latency_goal=1.2,
         holders=lambda sight, part: [],
         memory_fraction=part,
     )
--- a/tests/test_store_view_walk.py
+++ b/tests/test_store_view_walk.py
@@ -92,7 +92,7 @@
     def hear(self) -> None:
         """Let a node list the store, or hear what came since."""
         view = self.rng.choice(self.nodes).view
-        if not view.known:
+        if not view.is_known:
             held = [(SALT, part, tokens) for part, tokens in self.held.items()]
             view.listed(self.life, len(self.events), held)
         elif view.life != self.life or view.following < len(self.events) - _REMEMBERED:
@@ -101,7 +101,7 @@
             last = {part: (sign, n) for sign, part, n in self.events[view.following :]}
             added = tuple((SALT, part, n) for part, (sign, n) in last.items() if sign == "+")
             dropped = tuple((SALT, part) for part, (sign, _) in last.items() if sign == "-")
-            view.take(KeptChange(view.following, len(self.events), added, dropped))
+            view.apply(KeptChange(view.following, len(self.events), added, dropped))
 
     def copy(self) -> None:
         """Let a node copy from another, whose answer may be old by the time it is taken."""
@@ -134,7 +134,7 @@
 
     def test_copying_from_who_is_behind_is_found(self) -> None:
         with (
-            mock.patch.object(StoreView, "lacks", return_value=True),
+            mock.patch.object(StoreView, "is_behind", return_value=True),
             self.assertRaisesRegex(AssertionError, "a view went back"),
         ):
             explore(StoreViewWalk, examples=EXAMPLES)
