--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -81,7 +81,7 @@
         me = Neighbour(self.name, 1, data_centre, address, address, address, _CAPACITY)
         self.me = me
         self.neighbours = Neighbours(me=me)
-        self.neighbours.report(serving=True, load=0.0)
+        self.neighbours.update_self(serving=True, load=0.0)
         self._translator = HeartbeatTranslator(views=self.views, neighbours=self.neighbours)
         self.gossip = Gossip(
             neighbours=self.neighbours,
@@ -123,7 +123,7 @@
     def introduce(self, nodes: list[Neighbour]) -> None:
         """Know the other nodes."""
         for node in nodes:
-            self.neighbours.introduce(node)
+            self.neighbours.add(node)
 
     def configure(self, catalog: Catalog, instances: list[Instance], model: str) -> None:
         """Know the catalog and the targets."""
@@ -160,5 +160,5 @@
         while True:
             await asyncio.sleep(_TICK_SECONDS)
             now = loop.time()
-            self.neighbours.report(serving=True, load=self.views.load.value(now))
+            self.neighbours.update_self(serving=True, load=self.views.load.value(now))
             self.views.nodes = self.neighbours.sharing(now)
--- a/packages/core/src/fielddrift_core/active.py
+++ b/packages/core/src/fielddrift_core/active.py
@@ -1,10 +1,9 @@
-"""Choose which hosts callers are sent to: the active ones; the others stand by.
+"""Select the active hosts, which take callers' requests; the others are on standby.
 
-Few hosts can carry what many small ones carry together.  The fewer take
-requests, the more each knows of what is under way at the targets, and the
-less the hosts have to tell each other.  A host that stands by is ready to
-serve at once and becomes active when one before it falls silent or the load
-grows.
+A few large hosts can replace many small ones.  The fewer hosts take requests, the more each
+knows of the requests in flight at the targets, and the less state the hosts have to exchange.
+A standby host is ready to serve at once, and becomes active when an active one before it in
+the order fails or the load grows.
 """
 
 from __future__ import annotations
@@ -17,24 +16,25 @@
 
 __all__ = ["Candidate", "active_names", "capacity_of", "size_class"]
 
-_REQUEST_SECONDS = 0.004
-"""Processor time of a request with its stream on a reference core (docs/CAPACITY.md): with less,
-callers would be sent to fewer hosts than carry them."""
-_REQUEST_BYTES = 30_000
-"""Bytes that a request takes of a host's link: a long prompt of 9 KB comes in and
-goes out, and so does its answer."""
-_HEADROOM = 3.0
-"""Capacity of the active hosts over the load: a burst of 1.7 while a third is lost."""
-_LEAST = 3
-"""Active hosts of a data centre at least: two may be lost at once."""
-_PART = 6
-"""One in so many hosts is active at least, so that a load that grows at once
-does not meet three hosts of a hundred."""
+_CPU_SECONDS_PER_REQUEST = 0.004
+"""Processor time of a request with its stream on a reference core (docs/CAPACITY.md).  With a
+lower value, callers would be sent to fewer hosts than the load needs."""
+_LINK_BYTES_PER_REQUEST = 30_000
+"""Bytes that a request takes of a host's link: a long prompt of 9 KB is received and sent on,
+and so is its answer."""
+_HEADROOM_FACTOR = 3.0
+"""Ratio of the active hosts' capacity to the load: enough for a burst of 1.7 times the load
+while a third of the hosts is lost."""
+_MIN_ACTIVE_HOSTS = 3
+"""Minimum number of active hosts in a data centre: two may fail at the same time."""
+_HOSTS_PER_ACTIVE_HOST = 6
+"""At least one host in this many is active, so that a sudden increase of the load does not
+arrive at three hosts out of a hundred."""
 _RANK_KEY = "active"
 
 
 class Candidate(NamedTuple):
-    """A host that could be active; `capacity` and `load` in requests a second."""
+    """A host that can be active; `capacity` and `load` are in requests per second."""
 
     name: str
     capacity: float
@@ -42,34 +42,34 @@
 
 
 def capacity_of(*, cores: float, link_rate: float) -> float:
-    """Return the requests a second that a host carries.
+    """Return the requests per second that a host can serve.
 
-    `cores` is its processor in reference cores, `link_rate` in bytes a second.
+    `cores` is its processor in reference cores, `link_rate` its link in bytes per second.
     """
-    return min(cores / _REQUEST_SECONDS, link_rate / _REQUEST_BYTES)
+    return min(cores / _CPU_SECONDS_PER_REQUEST, link_rate / _LINK_BYTES_PER_REQUEST)
 
 
 def active_names(candidates: Iterable[Candidate]) -> frozenset[str]:
     """Return the names of the hosts of one data centre that should be active.
 
-    Large hosts come first; among hosts of one size the order is the same for
-    everyone and moves little when a host comes or goes.
+    Large hosts come first.  Among hosts of one size class every node uses the same order, which
+    changes little when a host is added or removed.
     """
     known = {candidate.name: candidate for candidate in candidates}
     ranked = rank(_RANK_KEY, [(name, 1.0) for name in known])
     ranked.sort(key=lambda name: -size_class(known[name].capacity))
-    wanted = _HEADROOM * sum(candidate.load for candidate in known.values())
-    least = max(_LEAST, math.ceil(len(known) / _PART))
+    wanted = _HEADROOM_FACTOR * sum(candidate.load for candidate in known.values())
+    min_count = max(_MIN_ACTIVE_HOSTS, math.ceil(len(known) / _HOSTS_PER_ACTIVE_HOST))
     chosen: list[str] = []
-    carried = 0.0
+    capacity = 0.0
     for name in ranked:
-        if len(chosen) >= least and carried >= wanted:
+        if len(chosen) >= min_count and capacity >= wanted:
             break
         chosen.append(name)
-        carried += known[name].capacity
+        capacity += known[name].capacity
     return frozenset(chosen)
 
 
 def size_class(capacity: float) -> int:
-    """Return the power of two next to `capacity`: nearly equal hosts count as equal."""
+    """Return the binary logarithm of `capacity`, rounded: similar hosts count as equal."""
     return round(math.log2(max(capacity, 1.0)))
--- a/packages/core/src/fielddrift_core/heartbeat.py
+++ b/packages/core/src/fielddrift_core/heartbeat.py
@@ -1,28 +1,29 @@
-"""What nodes tell each other with each heartbeat, and what is kept of it."""
+"""Define the heartbeats that nodes exchange, and the state kept of each neighbour."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from .readers import Reading
+from .readers import ReadState
 from .rollout import VersionAge
 from .workload import Burden
 
-__all__ = ["HeardNode", "Heartbeat", "KeptMark", "KnownNode", "Neighbour"]
+__all__ = ["Heartbeat", "KnownNode", "Neighbour", "NeighbourState", "StorePosition"]
 
-_MISSED_HEARTBEATS = 4
-"""Heartbeats in a row that datagrams may lose before a node counts as gone."""
-_SLACK_SECONDS = 0.3
-"""Silence that is borne besides: heartbeats come late on slow links and busy hosts."""
-_SHORTEST = 0.15
-"""Seconds; what a heartbeat says that was put together without a receiver in mind."""
+_MAX_MISSED_HEARTBEATS = 4
+"""Heartbeats in a row that may be lost as datagrams before a node counts as dead."""
+_JITTER_SECONDS = 0.3
+"""Silence tolerated in addition: heartbeats are delayed on slow links and busy hosts."""
+_DEFAULT_PERIOD_SECONDS = 0.15
+"""Period stated in a heartbeat that was built without a particular receiver."""
 
 
 class Neighbour(NamedTuple):
-    """A node: its name, its addresses, its data centre and the life `boot` numbers.
+    """A node: its name, its addresses and its data centre.
 
-    `capacity` is the requests a second that its host carries.
+    `boot` numbers the process instance and grows with each start.  `capacity` is the requests
+    per second that its host can serve.
     """
 
     name: str
@@ -34,8 +35,12 @@
     capacity: float = 1.0
 
 
-class KeptMark(NamedTuple):
-    """How far a node itself has heard a store host: its life, its events, their age."""
+class StorePosition(NamedTuple):
+    """A node's position in the event stream of a store host that it reads itself.
+
+    `life` numbers the store's process instance, `following` is the event up to which the node
+    has read, and `age` the seconds since the store's last response.
+    """
 
     life: int
     following: int
@@ -43,18 +48,21 @@
 
 
 class Heartbeat(NamedTuple):
-    """What a node tells the others with each heartbeat.
-
-    `active` says that it takes callers' requests, `load` how many a second.
-    `period` is the seconds until its next heartbeat to this receiver.
-    `catalog` and `named` are versions in force, `named_ages` for how
-    long the newest weights were known anywhere, `burdens` its own sends by target,
-    and to another data centre those of its whole data centre, as its loads and moves.
-    `left` are targets known to be leaving; `loading` gives the seconds for
-    which an engine is taken to be loading; `weights` are versions seen at
-    engines, by (instance, model).  `reading` is how far it has read, `kept` how
-    far it has itself heard store hosts.  `moves` are the seconds for which its
-    own moves take stores' links, `lateness` those by which fetches came late.
+    """The state that a node sends to another one with each heartbeat.
+
+    `active`: the node takes callers' requests; `load`: how many per second.
+    `period`: the seconds until its next heartbeat to this receiver.
+    `catalog`, `named`: the versions in force of the catalog, and of the weights by model;
+    `named_ages`: for how long the newest weights have been known to any node.
+    `burdens`, `moves`: the node's own sends by target, and the seconds for which its own
+    transfers occupy the links of stores.  A heartbeat to another data centre carries both for
+    the sender's whole data centre.
+    `left`: targets known to be leaving.
+    `loading`: the seconds for which an engine is assumed to be loading weights.
+    `weights`: versions seen at engines, as (instance, model, version).
+    `reading`: the versions of the platform's rows that the node has read.
+    `kept`: the node's positions in the event streams of store hosts that it reads itself.
+    `lateness`: the seconds by which fetches were late.
     """
 
     node: Neighbour
@@ -66,18 +74,18 @@
     left: tuple[str, ...] = ()
     loading: Mapping[str, float] = {}
     weights: tuple[tuple[str, str, int], ...] = ()
-    reading: Reading = Reading()
+    reading: ReadState = ReadState()
     named_ages: tuple[VersionAge, ...] = ()
-    period: float = _SHORTEST
+    period: float = _DEFAULT_PERIOD_SECONDS
     active: bool = True
     load: float = 0.0
-    kept: Mapping[str, KeptMark] = {}
+    kept: Mapping[str, StorePosition] = {}
     moves: Mapping[str, float] = {}
     lateness: Mapping[str, float] = {}
 
 
 class KnownNode(NamedTuple):
-    """What is known of a neighbour; `silent_seconds` None when it was never heard."""
+    """A summary of a neighbour; `silent_seconds` is None before its first heartbeat."""
 
     name: str
     data_centre: str
@@ -86,23 +94,23 @@
     serves: bool
 
 
-class HeardNode(NamedTuple):
-    """A node and what its last heartbeat told, `at` when; -inf before the first."""
+class NeighbourState(NamedTuple):
+    """A node and its last heartbeat, received at `received_at`; -inf before the first one."""
 
     node: Neighbour
-    at: float
+    received_at: float
     ready: bool = False
     leaving: bool = False
     active: bool = False
     load: float = 0.0
     period: float = 10.0
-    reading: Reading = Reading()
-    kept: Mapping[str, KeptMark] = {}
+    reading: ReadState = ReadState()
+    kept: Mapping[str, StorePosition] = {}
 
     @property
     def serves(self) -> bool:
         return self.ready and not self.leaving
 
-    def lives(self, now: float) -> bool:
-        """Return whether it was heard lately, by the times that it told itself."""
-        return now - self.at <= self.period * _MISSED_HEARTBEATS + _SLACK_SECONDS
+    def is_alive(self, now: float) -> bool:
+        """Return whether the last heartbeat is recent, by the period that it stated."""
+        return now - self.received_at <= self.period * _MAX_MISSED_HEARTBEATS + _JITTER_SECONDS
--- a/packages/core/src/fielddrift_core/neighbours.py
+++ b/packages/core/src/fielddrift_core/neighbours.py
@@ -1,9 +1,9 @@
-"""Know which nodes live, by the heartbeats that each sends to the others.
+"""Track which nodes are alive, by the heartbeats that nodes send to each other.
 
-Active nodes of one data centre send heartbeats often, and tell each other what they
-send to targets; nodes that stand by only as often as their end must be noticed.
-Between data centres only relays exchange heartbeats.  Nothing safe rests on this
-view: it only steers work.
+Active nodes of one data centre send heartbeats often, and exchange their sends to targets;
+standby nodes send them only as often as the detection of a failure requires.  Between data
+centres only relays exchange heartbeats.  This view only directs work: correctness must not
+depend on it.
 """
 
 from __future__ import annotations
@@ -12,109 +12,110 @@
 from collections.abc import Collection, Iterable
 
 from .active import Candidate, active_names
-from .heartbeat import HeardNode, Heartbeat, KeptMark, KnownNode, Neighbour
-from .heartbeat_schedule import SentHeartbeats, Standing, periods
-from .readers import Reading
-from .relays import CentreSize, Contact, RemoteNode, contacts, relays
+from .heartbeat import Heartbeat, KnownNode, Neighbour, NeighbourState, StorePosition
+from .heartbeat_schedule import Relation, SentHeartbeats, periods
+from .readers import ReadState
+from .relays import Contact, DataCentreSize, RemoteNode, contacts, relays
 
 __all__ = [
     "Heartbeat",
-    "KeptMark",
     "KnownNode",
     "Neighbour",
     "Neighbours",
-    "Standing",
+    "Relation",
+    "StorePosition",
 ]
 
 _SILENT_SECONDS = 10.0
-"""Silence after which a node gets a heartbeat only now and then."""
+"""Silence after which a node is sent heartbeats at the period below only."""
 _SILENT_HEARTBEAT_SECONDS = 5.0
-_FORMER_LIFE_SECONDS = 2.0
-"""How long a former life's heartbeats may still come after the first of a newer one:
-a restart takes about a second, and datagrams wait for less on any link."""
-_MOST_ADDRESSES = 64
-"""Callers take no more addresses from one answer."""
-_CHOSEN_SECONDS = 0.1
-"""How long the choice of the active nodes is kept: it costs a sort of all."""
-_STANDBY_CHOSEN_SECONDS = 0.3
-"""The same at a node that stands by: the choice is most of what such a node does, and they are
-most nodes.  A node that leaves, or is heard anew, counts at once all the same."""
-_LATELY_SECONDS = 20.0
-"""How long a node counts as active of late, heard or not: longer than most cuts."""
-_MOST_UNANSWERED = 120
-"""Heartbeats to a silent node, ten minutes' worth, after which it is forgotten.  They are
-counted, not seconds: a process that was paused must not forget everyone."""
+_FORMER_INSTANCE_SECONDS = 2.0
+"""How long heartbeats of a former process instance may arrive after the first one of the next:
+a restart takes about a second, and datagrams are queued for less on any link."""
+_MAX_ADDRESSES = 64
+"""Callers use at most this many addresses of a response."""
+_SELECTION_SECONDS = 0.1
+"""How long the selection of the active nodes is cached: it sorts all nodes."""
+_STANDBY_SELECTION_SECONDS = 0.3
+"""The same at a standby node: the selection is most of the work of such a node, and most nodes
+are standby nodes.  A node that starts to leave, or becomes known, still counts at once."""
+_RECENTLY_ACTIVE_SECONDS = 20.0
+"""How long a node counts as recently active, alive or not: longer than most partitions."""
+_MAX_UNANSWERED = 120
+"""Heartbeats to a silent node, over ten minutes, after which it is removed.  They are counted
+instead of seconds because a process that was paused must not remove all nodes."""
 
 
 class Neighbours:
-    """The other nodes, and which of all nodes are active.  Not safe for threads."""
+    """The other nodes, and which of all nodes are active.  Not thread-safe."""
 
     def __init__(self, *, me: Neighbour) -> None:
         self._me = me
-        self._heard: dict[str, HeardNode] = {}
-        self._nearby: dict[str, HeardNode] = {}
-        """Those of them in this data centre."""
-        self._sizes: dict[str, CentreSize] = {}
+        self._states: dict[str, NeighbourState] = {}
+        self._nearby: dict[str, NeighbourState] = {}
+        """The states of the nodes in this data centre."""
+        self._sizes: dict[str, DataCentreSize] = {}
         self._contacts: dict[str, Contact] = {}
-        """Whom this node sends heartbeats to in other data centres."""
+        """The nodes of other data centres to which this node sends heartbeats."""
         self._sent = SentHeartbeats()
         self._serving = False
         self._settled = False
         self._load = 0.0
         self._active: frozenset[str] = frozenset()
-        self._lately: dict[str, float] = {}
+        self._last_active: dict[str, float] = {}
         """When each node of this data centre was last known to be active."""
-        self._heard_most_at = float("-inf")
-        """When this node last heard more than half of its data centre's, itself included."""
-        self._periods: dict[Standing, float] = {}
-        self._chosen_at = float("-inf")
+        self._quorum_at = float("-inf")
+        """When more than half of the nodes of this data centre, this one included, were alive."""
+        self._periods: dict[Relation, float] = {}
+        self._selected_at = float("-inf")
 
     @property
     def me(self) -> Neighbour:
         """Return this node."""
         return self._me
 
-    def report(self, *, serving: bool, load: float, settled: bool = True) -> None:
-        """Take whether this node can serve, and its requests a second.
+    def update_self(self, *, serving: bool, load: float, settled: bool = True) -> None:
+        """Set whether this node can serve, and its load in requests per second.
 
-        Until it has `settled`, it has not heard the others and is not active.
+        Until it has `settled`, it has not received the others' heartbeats and is not active.
         """
         if (serving, settled) != (self._serving, self._settled):
-            self._chosen_at = float("-inf")
+            self._selected_at = float("-inf")
         self._serving = serving
         self._settled = settled
         self._load = load
 
-    # --- hearing ----------------------------------------------------------------
+    # --- Received heartbeats --------------------------------------------------------
 
-    def introduce(self, node: Neighbour) -> None:
-        """Take a node from a list, not yet heard."""
-        known = self._heard.get(node.name)
+    def add(self, node: Neighbour) -> None:
+        """Add a node from a list, from which no heartbeat has been received yet."""
+        known = self._states.get(node.name)
         if node.name != self._me.name and (known is None or known.node.boot < node.boot):
-            self._set(HeardNode(node, float("-inf")))
+            self._set(NeighbourState(node, float("-inf")))
 
-    def is_former(self, node: Neighbour, now: float) -> bool:
-        """Return whether `node` is a former life of a node or of this one, late on its way.
+    def is_former_instance(self, node: Neighbour, now: float) -> bool:
+        """Return whether `node` is a former process instance of a node or of this one.
 
-        A host's time of day may have gone back before its node started again, and that
-        must not stay unheard for good.
+        Delayed heartbeats of such an instance must be ignored, but not for ever: the clock of a
+        host may have been set back before its node restarted, so that the new instance has the
+        lower number.
         """
         if node.name == self._me.name:
             return True
-        known = self._heard.get(node.name)
+        known = self._states.get(node.name)
         if known is None or known.node.boot <= node.boot:
             return False
-        return now - known.at <= _FORMER_LIFE_SECONDS
+        return now - known.received_at <= _FORMER_INSTANCE_SECONDS
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take a heartbeat; True when the node was not known in this life."""
+    def receive(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Apply a heartbeat; return whether its process instance was not known before."""
         node = heartbeat.node
-        if self.is_former(node, now):
+        if self.is_former_instance(node, now):
             return False
-        known = self._heard.get(node.name)
-        heard = HeardNode(
+        known = self._states.get(node.name)
+        heard = NeighbourState(
             node=node,
-            at=now,
+            received_at=now,
             ready=heartbeat.ready,
             leaving=heartbeat.leaving,
             active=heartbeat.active,
@@ -125,295 +126,306 @@
         )
         self._set(heard)
         if known is None or known.serves != heard.serves:
-            self._chosen_at = float("-inf")
+            self._selected_at = float("-inf")
         return known is None or known.node.boot != node.boot
 
-    def _set(self, heard: HeardNode) -> None:
+    def _set(self, heard: NeighbourState) -> None:
         name = heard.node.name
-        self._heard[name] = heard
-        if self._near(heard):
+        self._states[name] = heard
+        if self._is_nearby(heard):
             self._nearby[name] = heard
         else:
             self._nearby.pop(name, None)
 
-    def sized(self, data_centre: str, size: CentreSize) -> None:
-        """Take how many nodes another data centre has, by its relay's word."""
+    def set_size(self, data_centre: str, size: DataCentreSize) -> None:
+        """Set the numbers of nodes of another data centre, as reported by its relay."""
         self._sizes[data_centre] = size
 
-    def size(self, now: float) -> CentreSize:
-        """Return how many nodes this data centre has."""
+    def size(self, now: float) -> DataCentreSize:
+        """Return the numbers of nodes of this data centre."""
         me = self.is_active(now)
-        return CentreSize(len(self.near_active(now)) + me, len(self.near(now)) + 1)
+        return DataCentreSize(len(self.nearby_active(now)) + me, len(self.nearby(now)) + 1)
 
     def node(self, name: str) -> Neighbour | None:
-        """Return the node called `name`."""
-        heard = self._heard.get(name)
+        """Return the node called `name`, or None."""
+        heard = self._states.get(name)
         return None if heard is None else heard.node
 
     def capacity(self, name: str) -> float:
-        """Return the requests a second that the host of the node called `name` carries."""
+        """Return the requests per second that the host of the node `name` can serve."""
         node = self._me if name == self._me.name else self.node(name)
         return 1.0 if node is None else node.capacity
 
-    def known(self, now: float) -> list[KnownNode]:
-        """Return what is known of all neighbours, by name."""
-        self._choose(now)
+    def known_nodes(self, now: float) -> list[KnownNode]:
+        """Return a summary of each neighbour, sorted by name."""
+        self._refresh(now)
         return [
             KnownNode(
                 name=name,
                 data_centre=heard.node.data_centre,
-                silent_seconds=None if heard.at == float("-inf") else now - heard.at,
+                silent_seconds=(
+                    None if heard.received_at == float("-inf") else now - heard.received_at
+                ),
                 active=self._is_active(heard),
-                serves=heard.serves and heard.lives(now),
+                serves=heard.serves and heard.is_alive(now),
             )
-            for name, heard in sorted(self._heard.items())
+            for name, heard in sorted(self._states.items())
         ]
 
-    # --- who is active ----------------------------------------------------------
+    # --- Active nodes ---------------------------------------------------------------
 
     def active(self, now: float) -> frozenset[str]:
         """Return the names of the active nodes of this data centre."""
-        self._choose(now)
+        self._refresh(now)
         return self._active
 
-    def active_lately(self, now: float) -> frozenset[str]:
-        """Return the names of the nodes of this data centre that were active of late.
+    def recently_active(self, now: float) -> frozenset[str]:
+        """Return the names of the nodes of this data centre that were active recently.
 
-        Also those that are not heard now: they may be alive behind a cut.
+        Nodes that are not known to be alive now are included: they may be behind a partition.
         """
-        self._choose(now)
-        return frozenset(self._lately)
+        self._refresh(now)
+        return frozenset(self._last_active)
 
-    def knows_active(self, now: float) -> bool:
-        """Return whether `active_lately` holds: this node has heard most nodes nearby of late.
+    def had_recent_quorum(self, now: float) -> bool:
+        """Return whether most nodes of this data centre were alive recently.
 
-        One that starts behind a cut, or has been behind it for long, knows nobody active.
+        Otherwise `recently_active` is not valid: a node that starts behind a partition, or has
+        been behind one for long, does not know the active nodes.
         """
-        self._choose(now)
-        return now - self._heard_most_at <= _LATELY_SECONDS
+        self._refresh(now)
+        return now - self._quorum_at <= _RECENTLY_ACTIVE_SECONDS
 
     def is_active(self, now: float) -> bool:
         """Return whether this node is active."""
         return self._me.name in self.active(now)
 
-    def is_first(self, now: float) -> bool:
-        """Return whether this node does what one does for all.
+    def is_coordinator(self, now: float) -> bool:
+        """Return whether this node performs the tasks of a single node for the whole fleet.
 
-        It is the first active one by name, in the first data centre by name that is heard.
+        It is the first active node by name, in the first data centre by name that is reachable.
+        More than one node may be the coordinator during a partition.
         """
         others = self.active_everywhere(now)
         mine = (self._me.data_centre, self._me.name)
         return self.is_active(now) and all(mine < (n.data_centre, n.name) for n in others)
 
-    def is_first_nearby(self, now: float) -> bool:
-        """Return whether this node does what one does for its data centre."""
+    def is_local_coordinator(self, now: float) -> bool:
+        """Return whether this node performs the tasks of a single node for its data centre."""
         active = self.active(now)
         return self._me.name in active and self._me.name == min(active)
 
     def active_everywhere(self, now: float) -> list[Neighbour]:
-        """Return the other nodes that are active in any data centre, by name.
+        """Return the other live nodes that are active in any data centre, sorted by name.
 
-        Of other data centres those that are heard: their relays.
+        Of other data centres only the nodes that send heartbeats here are known: their relays.
         """
-        self._choose(now)
+        self._refresh(now)
         return [
             heard.node
-            for _, heard in sorted(self._heard.items())
-            if self._is_active(heard) and heard.serves and heard.lives(now)
+            for _, heard in sorted(self._states.items())
+            if self._is_active(heard) and heard.serves and heard.is_alive(now)
         ]
 
     def sharing(self, now: float) -> int:
-        """Return the number of nodes among which what all may do is shared out.
+        """Return the number of nodes among which a limit for all nodes is divided.
 
-        Twice the active ones, as far as there are so many: others may take
-        their place within the time for which a share counts.
+        It is twice the number of active nodes, at most that of live nodes: standby nodes may
+        become active while a share is valid.
         """
         sizes = [self.size(now), *self._remote_sizes(now)]
         active = sum(size.active for size in sizes)
         return max(1, min(2 * active, sum(size.alive for size in sizes)))
 
-    def _remote_sizes(self, now: float) -> list[CentreSize]:
+    def _remote_sizes(self, now: float) -> list[DataCentreSize]:
         heard: Counter[str] = Counter()
-        for heard_node in self._remote():
-            heard[heard_node.node.data_centre] += heard_node.serves and heard_node.lives(now)
-        # Until a relay has told, those that are heard are all that is known.
+        for state in self._remote():
+            heard[state.node.data_centre] += state.serves and state.is_alive(now)
+        # Until a relay has reported the size, only the nodes that are alive are known.
         return [
-            self._sizes.get(centre, CentreSize(count, count))
-            for centre, count in heard.items()
+            self._sizes.get(data_centre, DataCentreSize(count, count))
+            for data_centre, count in heard.items()
             if count
         ]
 
-    def _remote(self) -> list[HeardNode]:
-        return [heard for heard in self._heard.values() if not self._near(heard)]
+    def _remote(self) -> list[NeighbourState]:
+        return [heard for heard in self._states.values() if not self._is_nearby(heard)]
 
     def addresses(self, data_centre: str, now: float) -> list[str]:
         """Return the addresses that a caller in `data_centre` should use.
 
-        Those of its own data centre, for bytes between data centres cost; all
-        active ones when there are none, or any node at all.
+        They are those of the active nodes of its data centre, because traffic between data
+        centres costs; without any, those of all active nodes, or of all nodes that serve.
         """
         active = self.active_everywhere(now)
         if self.is_active(now):
             active.append(self._me)
         near = [node for node in active if node.data_centre == data_centre]
-        return [node.entry for node in near or active or self._any(now)][:_MOST_ADDRESSES]
+        return [node.entry for node in near or active or self._any_serving(now)][:_MAX_ADDRESSES]
 
-    def _any(self, now: float) -> list[Neighbour]:
-        others = [h.node for _, h in sorted(self._heard.items()) if h.serves and h.lives(now)]
+    def _any_serving(self, now: float) -> list[Neighbour]:
+        others = [h.node for _, h in sorted(self._states.items()) if h.serves and h.is_alive(now)]
         return [*others, self._me] if self._serving else others
 
     def _candidates(self, now: float) -> Iterable[Candidate]:
         for name, heard in self._nearby.items():
-            if heard.serves and heard.lives(now):
+            if heard.serves and heard.is_alive(now):
                 yield Candidate(name, heard.node.capacity, heard.load)
         if self._serving and self._settled:
             yield Candidate(self._me.name, self._me.capacity, self._load)
 
-    def _is_active(self, heard: HeardNode) -> bool:
-        return heard.node.name in self._active if self._near(heard) else heard.active
+    def _is_active(self, heard: NeighbourState) -> bool:
+        return heard.node.name in self._active if self._is_nearby(heard) else heard.active
 
-    def _near(self, heard: HeardNode) -> bool:
+    def _is_nearby(self, heard: NeighbourState) -> bool:
         return heard.node.data_centre == self._me.data_centre
 
-    # --- who is told ------------------------------------------------------------
+    # --- Receivers of heartbeats ----------------------------------------------------
 
     def alive(self, now: float, *, data_centre: str | None = None) -> list[Neighbour]:
-        """Return the nodes that are heard, the leaving ones too, by name."""
+        """Return the live nodes, including leaving ones, sorted by name."""
         return [
             heard.node
-            for _, heard in sorted(self._heard.items())
-            if heard.lives(now) and data_centre in (None, heard.node.data_centre)
+            for _, heard in sorted(self._states.items())
+            if heard.is_alive(now) and data_centre in (None, heard.node.data_centre)
         ]
 
-    def near(self, now: float) -> list[Neighbour]:
-        """Return the live nodes of this data centre."""
-        return [heard.node for _, heard in sorted(self._nearby.items()) if heard.lives(now)]
+    def nearby(self, now: float) -> list[Neighbour]:
+        """Return the other live nodes of this data centre."""
+        return [heard.node for _, heard in sorted(self._nearby.items()) if heard.is_alive(now)]
 
-    def near_active(self, now: float) -> list[Neighbour]:
+    def nearby_active(self, now: float) -> list[Neighbour]:
         """Return the other active nodes of this data centre."""
         names = self.active(now)
-        return [node for node in self.near(now) if node.name in names]
+        return [node for node in self.nearby(now) if node.name in names]
 
     def is_relay(self, now: float) -> bool:
         """Return whether this node exchanges heartbeats with other data centres."""
-        return self._place(now) is not None
+        return self._relay_index(now) is not None
 
     def remote_contacts(self, now: float) -> list[Neighbour]:
-        """Return the nodes in other data centres that get this node's heartbeats."""
-        self._choose(now)
-        return [self._heard[name].node for name in self._contacts if name in self._heard]
+        """Return the nodes of other data centres to which this node sends heartbeats."""
+        self._refresh(now)
+        return [self._states[name].node for name in self._contacts if name in self._states]
 
     def due(self, now: float) -> list[Neighbour]:
-        """Return the nodes that should get a heartbeat now, and note it.
+        """Return the nodes to which a heartbeat is due, and record the heartbeats as sent.
 
-        Nodes that answered none for minutes are forgotten.
+        Nodes that have left heartbeats unanswered for ten minutes are removed.
         """
-        self._choose(now)
+        self._refresh(now)
         chosen = []
-        mine = self._me.name in self._active
-        far = [self._heard[name] for name in self._contacts if name in self._heard]
+        self_active = self._me.name in self._active
+        far = [self._states[name] for name in self._contacts if name in self._states]
         for heard in [*self._nearby.values(), *far]:
             name = heard.node.name
-            period = self._periods[self._standing(heard, mine)]
-            silent = now - heard.at > _SILENT_SECONDS and not heard.lives(now)
+            period = self._periods[self._relation(heard, self_active)]
+            silent = now - heard.received_at > _SILENT_SECONDS and not heard.is_alive(now)
             if silent:
                 period = _SILENT_HEARTBEAT_SECONDS
-            if not self._sent.is_due(name, period=period, silent=silent, now=now):
+            if not self._sent.record_if_due(name, period=period, silent=silent, now=now):
                 continue
-            if self._sent.unanswered(name) > _MOST_UNANSWERED:
-                self._forget(name)
+            if self._sent.unanswered(name) > _MAX_UNANSWERED:
+                self._remove(name)
             else:
                 chosen.append(heard.node)
         return chosen
 
-    def _forget(self, name: str) -> None:
-        del self._heard[name]
+    def _remove(self, name: str) -> None:
+        del self._states[name]
         self._nearby.pop(name, None)
         self._contacts.pop(name, None)
         self._sent.forget(name)
 
-    def standing(self, node: Neighbour, now: float) -> Standing:
-        """Return how `node` stands to this one."""
-        self._choose(now)
-        heard = self._heard.get(node.name)
-        mine = self._me.name in self._active
-        return self._standing(heard or HeardNode(node, float("-inf")), mine)
-
-    def _standing(self, heard: HeardNode, mine: bool) -> Standing:
-        theirs = self._is_active(heard)
-        if self._near(heard):
-            return Standing(True, mine, theirs)
+    def relation(self, node: Neighbour, now: float) -> Relation:
+        """Return the relation of this node to `node`."""
+        self._refresh(now)
+        heard = self._states.get(node.name)
+        self_active = self._me.name in self._active
+        return self._relation(heard or NeighbourState(node, float("-inf")), self_active)
+
+    def _relation(self, heard: NeighbourState, self_active: bool) -> Relation:
+        peer_active = self._is_active(heard)
+        if self._is_nearby(heard):
+            return Relation(True, self_active, peer_active)
         contact = self._contacts.get(heard.node.name)
-        seldom = mine and theirs and contact is not None and contact.seldom
-        return Standing(False, mine, theirs, seldom)
+        infrequent = self_active and peer_active and contact is not None and contact.infrequent
+        return Relation(False, self_active, peer_active, infrequent)
 
-    def period(self, standing: Standing, now: float) -> float:
-        """Return the seconds between heartbeats to nodes that stand so to this one."""
-        self._choose(now)
-        return self._periods[standing]
+    def period(self, relation: Relation, now: float) -> float:
+        """Return the seconds between heartbeats to nodes in this relation."""
+        self._refresh(now)
+        return self._periods[relation]
 
-    def _choose(self, now: float) -> None:
-        """Choose the active nodes and the periods of heartbeats anew when that is some time old."""
+    def _refresh(self, now: float) -> None:
+        """Select the active nodes, the periods and the contacts, unless the selection is recent."""
         active = self._me.name in self._active
-        if now - self._chosen_at <= (_CHOSEN_SECONDS if active else _STANDBY_CHOSEN_SECONDS):
+        if now - self._selected_at <= (
+            _SELECTION_SECONDS if active else _STANDBY_SELECTION_SECONDS
+        ):
             return
-        self._chosen_at = now
+        self._selected_at = now
         self._active = active_names(self._candidates(now))
-        heard = sum(node.lives(now) for node in self._nearby.values())
+        heard = sum(node.is_alive(now) for node in self._nearby.values())
         if 2 * (heard + 1) > len(self._nearby) + 1:
-            self._heard_most_at = now
-        self._lately |= dict.fromkeys(self._active, now)
-        for name in [n for n, at in self._lately.items() if now - at > _LATELY_SECONDS]:
-            del self._lately[name]
+            self._quorum_at = now
+        self._last_active |= dict.fromkeys(self._active, now)
+        for name in [
+            n for n, at in self._last_active.items() if now - at > _RECENTLY_ACTIVE_SECONDS
+        ]:
+            del self._last_active[name]
         self._periods = periods(Counter(name in self._active for name in self._nearby))
-        place = self._place(now)
-        found = [] if place is None else contacts(place, self._centres(now))
+        relay_index = self._relay_index(now)
+        found = [] if relay_index is None else contacts(relay_index, self._remote_nodes(now))
         self._contacts = {contact.name: contact for contact in found}
 
-    def _place(self, now: float) -> int | None:
-        """Return this node's place among the relays of its data centre, None for no relay."""
+    def _relay_index(self, now: float) -> int | None:
+        """Return this node's index among the relays of its data centre, None for no relay."""
         chosen = relays(self.active(now), self.capacity)
         return chosen.index(self._me.name) if self._me.name in chosen else None
 
-    def _centres(self, now: float) -> dict[str, list[RemoteNode]]:
-        centres: dict[str, list[RemoteNode]] = {}
+    def _remote_nodes(self, now: float) -> dict[str, list[RemoteNode]]:
+        """Return the nodes of other data centres, by data centre."""
+        found: dict[str, list[RemoteNode]] = {}
         for heard in self._remote():
             node = heard.node
-            lives = heard.active and heard.lives(now)
-            greeted = self._sent.unanswered(node.name)
-            centres.setdefault(node.data_centre, []).append(
-                RemoteNode(node.name, node.capacity, lives, greeted)
+            is_alive = heard.active and heard.is_alive(now)
+            unanswered = self._sent.unanswered(node.name)
+            found.setdefault(node.data_centre, []).append(
+                RemoteNode(node.name, node.capacity, is_alive, unanswered)
             )
-        return centres
+        return found
 
-    # --- what they have read ----------------------------------------------------
+    # --- Row versions and store positions -------------------------------------------
 
-    def readings(self, now: float) -> dict[str, Reading]:
-        """Return how far the live nodes of this data centre have read, as of `now`."""
+    def read_states(self, now: float) -> dict[str, ReadState]:
+        """Return the row versions read by the live nodes of this data centre, aged to `now`."""
         return {
-            heard.node.name: heard.reading._replace(age=heard.reading.age + now - heard.at)
-            for heard in self._near_staying(now)
+            heard.node.name: heard.reading._replace(age=heard.reading.age + now - heard.received_at)
+            for heard in self._nearby_staying(now)
         }
 
-    def remote_readings(self, now: float) -> dict[str, Reading]:
-        """Return how far the live relays of other data centres have read, as of `now`."""
+    def remote_read_states(self, now: float) -> dict[str, ReadState]:
+        """Return the row versions read by the live relays of other data centres."""
         return {
-            heard.node.name: heard.reading._replace(age=heard.reading.age + now - heard.at)
+            heard.node.name: heard.reading._replace(age=heard.reading.age + now - heard.received_at)
             for heard in self._remote()
-            if heard.active and not heard.leaving and heard.lives(now)
+            if heard.active and not heard.leaving and heard.is_alive(now)
         }
 
-    def kept(self, now: float) -> dict[str, dict[str, KeptMark]]:
-        """Return how far the live active nodes nearby have heard store hosts, by node."""
+    def kept(self, now: float) -> dict[str, dict[str, StorePosition]]:
+        """Return the store positions of the other active nodes nearby, by node and store."""
         names: Collection[str] = self.active(now)
         return {
             heard.node.name: {
-                store: mark._replace(age=mark.age + now - heard.at)
+                store: mark._replace(age=mark.age + now - heard.received_at)
                 for store, mark in heard.kept.items()
             }
-            for heard in self._near_staying(now)
+            for heard in self._nearby_staying(now)
             if heard.node.name in names
         }
 
-    def _near_staying(self, now: float) -> list[HeardNode]:
-        return [heard for heard in self._nearby.values() if not heard.leaving and heard.lives(now)]
+    def _nearby_staying(self, now: float) -> list[NeighbourState]:
+        return [
+            heard for heard in self._nearby.values() if not heard.leaving and heard.is_alive(now)
+        ]
--- a/packages/core/src/fielddrift_core/readers.py
+++ b/packages/core/src/fielddrift_core/readers.py
@@ -1,11 +1,11 @@
-"""Decide which nodes read from the platform and from store hosts for the others.
-
-Each call to the platform costs the users, whoever makes it.  So one node of a
-data centre has the rows for it, and tells the others, who fetch from it what is new.
-Of these readers the first one reads from the platform, the others fetch from it.  When
-one falls silent, or what it has grows old, each of those that relied on it reads for
-itself until a reader is heard again.  Reading and handing on takes a host's link and processor,
-so the largest hosts do it.
+"""Select the nodes that read from the platform and from store hosts on behalf of the others.
+
+Each call to the platform costs its users, whichever node makes it.  So one node of a data
+centre reads the rows, and the other nodes copy changes from it.  The readers of the data
+centres are ordered in the same way: the first one reads from the platform, the others copy
+from it.  When a reader fails or its state becomes stale, each node that relied on it reads
+for itself until a reader is available again.  Reading and serving copies take link bandwidth
+and processor time, so the largest hosts are chosen.
 """
 
 from __future__ import annotations
@@ -17,62 +17,61 @@
 from .names import rank
 
 __all__ = [
-    "OLD_MARK_SECONDS",
-    "OPERATORS_WAIT_SECONDS",
+    "OPERATORS_POLL_SECONDS",
     "READER_KEY",
-    "Mark",
-    "Reading",
+    "STALE_POSITION_SECONDS",
+    "Position",
+    "ReadState",
     "Source",
-    "in_order",
-    "old_seconds",
-    "read_seconds",
+    "read_interval_seconds",
     "reader",
-    "source",
+    "reader_order",
     "remote_source",
-    "source_of_each",
+    "source",
+    "stale_seconds",
+    "store_sources",
 ]
 
 READER_KEY = "platform"
-"""What the readers of the platform's rows are chosen for."""
-_READ_PART = 0.2
-"""Part of the time within which nodes must know what was written that passes between readings
-of the targets.  What is read reaches the last node two heartbeats later."""
-_OLD_REMOTE_PART = 0.4
-"""The same for the age at which another data centre's reader is too old to rely on: it is
-less than what nodes nearby bear, so that one node reads in its place, not all of them."""
-OPERATORS_WAIT_SECONDS = 1.2
-"""How long a reader's call waits for news of the operators' rows, and so how old they
-grow in good health.  A silent call hides a change until it is given up, some 0.7 s
-later: a change holds 2 s after it was acknowledged, 3 s after connections fell silent."""
-_OLD_PART = 0.5
-"""Part of that time at which what a reader has is too old to rely on: it missed a reading, and
-half of the time is left."""
-_STANDBY_OLD_PART = 0.75
-"""The same for a node that stands by: it takes hardly any requests, and an active
-node will have taken the reader's place before."""
-_STANDBY_LEAST_OLD_SECONDS = 2.0
-"""The least of it: heartbeats to nodes that stand by are up to a second apart."""
-OLD_MARK_SECONDS = 2.5
-"""Age at which a node's view of a store host is too old to rely on: it missed two calls
-for events."""
-
-
-class Mark(Protocol):
-    """How far a node has heard a store host, and how many seconds ago."""
+"""The key by which the readers of the platform's rows are ranked."""
+_READ_FRACTION = 0.2
+"""Interval between reads of the targets, as a fraction of the time within which nodes must know
+a write.  The last node has the result two heartbeats after the read."""
+_REMOTE_STALE_FRACTION = 0.4
+"""Age at which another data centre's reader is stale, as a fraction of the same time.  It is
+less than for a reader nearby, so that one node reads in its place and not all of them."""
+OPERATORS_POLL_SECONDS = 1.2
+"""How long a reader's long poll waits for changes of the operators' rows, and so their maximum
+age in normal operation.  A hanging call hides a change until it is given up, some 0.7 s later:
+a change is in force 2 s after its acknowledgement, or 3 s where connections hang."""
+_STALE_FRACTION = 0.5
+"""Age at which a reader's state is stale, as a fraction of the time within which nodes must know
+a write: the reader has missed a read, and half of the time is left."""
+_STANDBY_STALE_FRACTION = 0.75
+"""The same for a standby node: it takes hardly any requests, and an active node replaces the
+reader earlier."""
+_MIN_STANDBY_STALE_SECONDS = 2.0
+"""Lower bound of that age: heartbeats to standby nodes are up to a second apart."""
+STALE_POSITION_SECONDS = 2.5
+"""Age at which a node's view of a store host is stale: it has missed two calls for events."""
+
+
+class Position(Protocol):
+    """A node's position in the event stream of a store host."""
 
     @property
     def age(self) -> float:
-        """Return the seconds since it heard."""
+        """Return the seconds since the store host's last response."""
 
 
-class Reading(NamedTuple):
-    """How far a node has read: the platform's row versions, and their age in seconds.
+class ReadState(NamedTuple):
+    """The row versions that a node has read from the platform, and their age in seconds.
 
-    `serial` changes with the content of the targets' list, not with each heartbeat
-    of a target.  `age` is that of what is older, the targets' entries or the operators'
-    rows less the wait that is due to a call for these; it grows until the node itself
-    has an answer again.  A field more would cut nodes of earlier releases off: they
-    refuse a longer array, and the whole heartbeat with it.
+    `serial` changes with the content of the target list, not with each heartbeat of a target.
+    `age` is that of the older one of two: the targets' entries, and the operators' rows less
+    the wait of a long poll for these.  It grows until the node itself has a response again.
+    No field may be added: nodes of earlier releases reject a longer array, and the whole
+    heartbeat with it.
     """
 
     operators: int = 0
@@ -82,88 +81,94 @@
 
 
 class Source(NamedTuple):
-    """From whom a node has its views; an empty name is the platform itself."""
+    """The node from which a node copies its views; an empty name is the platform itself."""
 
     name: str
 
 
-def _alike(name: str) -> float:
+def _equal_capacity(name: str) -> float:
     return 1.0
 
 
-def in_order(key: str, names: Iterable[str], capacity: Callable[[str], float]) -> list[str]:
-    """Return who should read what `key` names, first choice first: large hosts before small."""
+def reader_order(key: str, names: Iterable[str], capacity: Callable[[str], float]) -> list[str]:
+    """Return the candidates for reading what `key` names, in order: large hosts first."""
     ranked = rank(key, [(name, 1.0) for name in names])
     return sorted(ranked, key=lambda name: -size_class(capacity(name)))
 
 
-def read_seconds(bound: float) -> float:
-    """Return the seconds between readings of the targets.
+def read_interval_seconds(bound: float) -> float:
+    """Return the seconds between reads of the targets.
 
     `bound` is the seconds within which a node must know what operators and targets wrote.
     """
-    return bound * _READ_PART
+    return bound * _READ_FRACTION
 
 
-def old_seconds(bound: float) -> float:
-    """Return the age at which a reader nearby is too old to rely on; `bound` as above."""
-    return bound * _OLD_PART
+def stale_seconds(bound: float) -> float:
+    """Return the age at which a reader in the same data centre is stale.
+
+    `bound` is as in `read_interval_seconds`.
+    """
+    return bound * _STALE_FRACTION
 
 
-def reader(key: str, names: Iterable[str], *, capacity: Callable[[str], float] = _alike) -> str:
-    """Return which of `names` reads what `key` names; empty when there are none."""
-    return next(iter(in_order(key, names, capacity)), "")
+def reader(
+    key: str, names: Iterable[str], *, capacity: Callable[[str], float] = _equal_capacity
+) -> str:
+    """Return the node of `names` that reads what `key` names; empty when there is none."""
+    return next(iter(reader_order(key, names, capacity)), "")
 
 
 def source(
     me: str,
     key: str,
-    readings: Mapping[str, Reading],
+    read_states: Mapping[str, ReadState],
     *,
     active: Collection[str],
     failing: bool = False,
-    capacity: Callable[[str], float] = _alike,
+    capacity: Callable[[str], float] = _equal_capacity,
     bound: float = 2.0,
 ) -> Source:
-    """Return from whom `me` should have what `key` names.
+    """Return the source from which `me` should take what `key` names.
 
-    `readings` are those of the live nodes of this data centre, `me` left out.
-    The first active node in order reads; where either thing that it has is old, the next one.
-    While its own readings are `failing`, `me` relies on any other that reads.  `bound` is
-    as in `read_seconds`.
+    `read_states` are those of the live nodes of this data centre except `me`.  The first active
+    node in order is the reader, or the next one where its state is stale.  While the reads of
+    `me` are `failing`, it relies on any other reader.  `bound` is as in
+    `read_interval_seconds`.
     """
-    candidates = [name for name in [me, *readings] if name in active] or [me, *readings]
-    for name in in_order(key, candidates, capacity):
+    candidates = [name for name in [me, *read_states] if name in active] or [me, *read_states]
+    for name in reader_order(key, candidates, capacity):
         if name == me and not failing:
             return Source("")
-        if name != me and readings[name].age <= old_seconds(bound):
+        if name != me and read_states[name].age <= stale_seconds(bound):
             return Source(name)
     if me in candidates:
         return Source("")
-    freshest = min(candidates, key=lambda name: readings[name].age)
-    oldest = max(_STANDBY_LEAST_OLD_SECONDS, bound * _STANDBY_OLD_PART)
-    return Source(freshest if readings[freshest].age <= oldest else "")
+    freshest = min(candidates, key=lambda name: read_states[name].age)
+    max_age = max(_MIN_STANDBY_STALE_SECONDS, bound * _STANDBY_STALE_FRACTION)
+    return Source(freshest if read_states[freshest].age <= max_age else "")
 
 
 def remote_source(
     me: str,
-    readings: Mapping[str, Reading],
+    read_states: Mapping[str, ReadState],
     *,
     bound: float,
     failing: bool = False,
-    capacity: Callable[[str], float] = _alike,
+    capacity: Callable[[str], float] = _equal_capacity,
 ) -> Source:
-    """Return from whom `me`, the reader of its data centre, should have the platform's rows.
+    """Return the source from which `me`, the reader of its data centre, takes the rows.
 
-    `readings` are those of relays in other data centres.  One reader reads for all that it
-    reaches: each call is paid for, whoever makes it.  A reader relies only on those before
-    it in order, so that two never rely on each other.  `bound` is as in `read_seconds`.
+    `read_states` are those of relays in other data centres.  One reader reads for all data
+    centres that it reaches, because each call costs.  A reader relies only on readers before
+    it in the order, so that two never rely on each other.  `bound` is as in
+    `read_interval_seconds`.
     """
-    oldest = bound * _OLD_REMOTE_PART
-    fresh = [name for name, reading in readings.items() if reading.age <= oldest]
+    max_age = bound * _REMOTE_STALE_FRACTION
+    fresh = [name for name, state in read_states.items() if state.age <= max_age]
     if failing and fresh:
-        return Source(min(fresh, key=lambda name: readings[name].age))
-    for name in in_order(READER_KEY, [me, *readings], capacity):
+        return Source(min(fresh, key=lambda name: read_states[name].age))
+    for name in reader_order(READER_KEY, [me, *read_states], capacity):
         if name == me:
             break
         if name in fresh:
@@ -171,20 +176,20 @@
     return Source("")
 
 
-def source_of_each(
-    stores: Iterable[str], marks: Mapping[str, Mapping[str, Mark]], listener: str
+def store_sources(
+    stores: Iterable[str], marks: Mapping[str, Mapping[str, Position]], listener: str
 ) -> dict[str, str]:
-    """Return, by store, the node to copy its view from; stores that nobody hears are left out.
+    """Return, by store, the node to copy its view from; stores without a source are omitted.
 
-    `marks` tells by node how far it has heard each store.  The listener goes
-    before the others, then whoever heard the store last.
+    `marks` are the positions of each node by store.  The listener is preferred, then the node
+    with the most recent position.
     """
     sources: dict[str, str] = {}
     for store in stores:
         heard = {
-            node: seen[store].age
-            for node, seen in marks.items()
-            if store in seen and seen[store].age <= OLD_MARK_SECONDS
+            node: positions[store].age
+            for node, positions in marks.items()
+            if store in positions and positions[store].age <= STALE_POSITION_SECONDS
         }
         if heard:
             sources[store] = min(heard, key=lambda node: (node != listener, heard[node], node))
--- a/packages/core/src/fielddrift_core/relays.py
+++ b/packages/core/src/fielddrift_core/relays.py
@@ -1,9 +1,9 @@
-"""Choose who exchanges heartbeats with other data centres, and with whom.
+"""Select the relays, which exchange heartbeats with other data centres, and their contacts.
 
-Two active nodes of each data centre are its relays: the first one tells the others'
-relays what its data centre sends and knows, the second does so less often and takes
-its place when it falls silent.  Whoever gets such a heartbeat passes it on nearby.  So
-what crosses between data centres does not grow with their nodes.
+Two active nodes of each data centre are its relays.  The primary relay sends the state of its
+data centre to the relays of the others.  The standby relay does so less often, and replaces
+the primary when that one fails.  A node that receives such a heartbeat forwards it within its
+own data centre.  So the traffic between data centres does not grow with their nodes.
 """
 
 from __future__ import annotations
@@ -11,66 +11,70 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from typing import NamedTuple
 
-from .readers import READER_KEY, in_order
+from .readers import READER_KEY, reader_order
 
-__all__ = ["CentreSize", "Contact", "RemoteNode", "contacts", "nodes_name", "relays"]
+__all__ = ["Contact", "DataCentreSize", "RemoteNode", "contacts", "relays", "size_entry_name"]
 
-_RELAYS = 2
-"""Relays of a data centre: one, and its successor."""
-_GREETED = 3
-"""Nodes of a data centre of which nobody is heard that are greeted in one turn."""
+_RELAY_COUNT = 2
+"""Relays of a data centre: a primary and a standby."""
+_PROBED_COUNT = 3
+"""Nodes that are sent heartbeats in a data centre without any live active node."""
 
 
-class CentreSize(NamedTuple):
-    """How many nodes a data centre has: those that are active, and all that live."""
+class DataCentreSize(NamedTuple):
+    """The numbers of active nodes and of live nodes in a data centre."""
 
     active: int = 0
     alive: int = 0
 
 
 class RemoteNode(NamedTuple):
-    """A node of another data centre; `heard` says that it lives and is active.
+    """A node of another data centre; `heard`: it is alive and active.
 
-    `greeted` counts the greetings that it left unanswered.
+    `unanswered` counts the heartbeats to it since it was last alive.
     """
 
     name: str
     capacity: float
     heard: bool
-    greeted: int = 0
+    unanswered: int = 0
 
 
 class Contact(NamedTuple):
-    """A node of another data centre that gets heartbeats; `seldom` for a successor, or from one."""
+    """A node of another data centre that is sent heartbeats.
+
+    `infrequent`: it or this node is a standby relay.
+    """
 
     name: str
-    seldom: bool
+    infrequent: bool
 
 
-def nodes_name(data_centre: str) -> str:
-    """Return the name under which a data centre's size is told among its burdens."""
+def size_entry_name(data_centre: str) -> str:
+    """Return the name under which a data centre's size is sent among its burdens."""
     return f"nodes:{data_centre}"
 
 
 def relays(names: Iterable[str], capacity: Callable[[str], float]) -> list[str]:
-    """Return the relays among the active nodes of a data centre, the first one first.
+    """Return the relays among the active nodes of a data centre, the primary first.
 
-    The first one is also the first to read from the platform for its data centre.
+    The primary is also the first choice to read from the platform for its data centre.
     """
-    return in_order(READER_KEY, names, capacity)[:_RELAYS]
+    return reader_order(READER_KEY, names, capacity)[:_RELAY_COUNT]
 
 
-def contacts(place: int, centres: Mapping[str, Collection[RemoteNode]]) -> list[Contact]:
-    """Return whom the relay at `place` sends heartbeats to in the other data centres.
+def contacts(relay_index: int, data_centres: Mapping[str, Collection[RemoteNode]]) -> list[Contact]:
+    """Return the nodes of other data centres to which the relay `relay_index` sends heartbeats.
 
-    Where nobody is heard those known are greeted, the least greeted first.
+    In a data centre without live active nodes some known nodes are probed, those with the
+    fewest unanswered heartbeats first.
     """
     found: list[Contact] = []
-    for nodes in centres.values():
+    for nodes in data_centres.values():
         capacities = {node.name: node.capacity for node in nodes if node.heard}
         chosen = relays(capacities, capacities.__getitem__)
-        found += [Contact(name, place + other > 0) for other, name in enumerate(chosen)]
+        found += [Contact(name, relay_index + other > 0) for other, name in enumerate(chosen)]
         if not chosen:
-            silent = sorted(nodes, key=lambda node: (node.greeted, node.name))
-            found += [Contact(node.name, False) for node in silent[:_GREETED]]
+            silent = sorted(nodes, key=lambda node: (node.unanswered, node.name))
+            found += [Contact(node.name, False) for node in silent[:_PROBED_COUNT]]
     return found
--- a/packages/core/src/fielddrift_core/store_index.py
+++ b/packages/core/src/fielddrift_core/store_index.py
@@ -12,7 +12,7 @@
 
 from .catalog import StoreTraits
 from .names import rank
-from .neighbours import KeptMark
+from .neighbours import StorePosition
 from .prompt import Part
 
 __all__ = ["KeptChange", "StoreIndex", "StoreView"]
@@ -181,10 +181,10 @@
         """Return one store."""
         return self._views.get(address)
 
-    def marks(self, now: float) -> dict[str, KeptMark]:
+    def marks(self, now: float) -> dict[str, StorePosition]:
         """Return how far this node itself has heard each store."""
         return {
-            address: KeptMark(view.life, view.following, now - view.received_at)
+            address: StorePosition(view.life, view.following, now - view.received_at)
             for address, view in self._views.items()
             if view.life is not None and view.received_at > float("-inf")
         }
--- a/packages/node/src/fielddrift_node/serving/beliefs.py
+++ b/packages/node/src/fielddrift_node/serving/beliefs.py
@@ -101,7 +101,7 @@
         stale=views.stale.is_set(),
         targets=_targets(views, now),
         stores=_stores(views, now),
-        nodes=neighbours.known(now),
+        nodes=neighbours.known_nodes(now),
         era=era_of(max(views.operators_row, views.targets_row)),
         evacuated=sorted(views.registry.evacuated),
         held=[
--- a/packages/node/src/fielddrift_node/serving/cold_gate.py
+++ b/packages/node/src/fielddrift_node/serving/cold_gate.py
@@ -34,7 +34,7 @@
             return False
         if not knows_owners(self._views, self._neighbours, now):
             return False
-        nodes = self._neighbours.active_lately(now)
+        nodes = self._neighbours.recently_active(now)
         sends = self._share.sends(instance.name, nodes, self._bound(service), now)
         return cold.has_room(instance.name, sends, now)
 
--- a/packages/node/src/fielddrift_node/serving/crash_watch.py
+++ b/packages/node/src/fielddrift_node/serving/crash_watch.py
@@ -193,7 +193,7 @@
         self._log_holds()
         now = self._loop.time()
         is_local = update.data_centre == self._neighbours.me.data_centre
-        nodes = self._neighbours.remote_contacts(now) if is_local else self._neighbours.near(now)
+        nodes = self._neighbours.remote_contacts(now) if is_local else self._neighbours.nearby(now)
         self._send_chunks(fresh, nodes)
 
     def recent_update(self) -> CrashUpdate:
@@ -212,7 +212,7 @@
     def _publish(self, update: CrashUpdate) -> None:
         self._log_holds()
         now = self._loop.time()
-        nodes = [*self._neighbours.near(now), *self._neighbours.remote_contacts(now)]
+        nodes = [*self._neighbours.nearby(now), *self._neighbours.remote_contacts(now)]
         self._send_chunks(update, nodes)
 
     def _send_chunks(self, update: CrashUpdate, nodes: Sequence[Neighbour]) -> None:
@@ -248,7 +248,7 @@
         if now - self._update_sent_at < _UPDATE_INTERVAL_SECONDS:
             return
         self._update_sent_at = now
-        nodes = [*self._neighbours.near(now), *self._neighbours.remote_contacts(now)]
+        nodes = [*self._neighbours.nearby(now), *self._neighbours.remote_contacts(now)]
         if nodes:
             self._send_chunks(self.recent_update(), [self._rng.choice(nodes)])
 
--- a/packages/node/src/fielddrift_node/serving/feeds.py
+++ b/packages/node/src/fielddrift_node/serving/feeds.py
@@ -17,11 +17,11 @@
 from fielddrift_core.neighbours import Neighbour, Neighbours
 from fielddrift_core.readers import (
     READER_KEY,
-    Reading,
+    ReadState,
     Source,
-    old_seconds,
     remote_source,
     source,
+    stale_seconds,
 )
 
 from .ports import Platform
@@ -118,7 +118,7 @@
         chosen = source(
             neighbours.me.name,
             READER_KEY,
-            neighbours.readings(now),
+            neighbours.read_states(now),
             active=neighbours.active(now),
             failing=self._rests.failing,
             capacity=neighbours.capacity,
@@ -131,13 +131,13 @@
     def _remote_source(self, now: float) -> Source:
         """Return who in another data centre reads for this node, which reads for its own."""
         neighbours = self._neighbours
-        oldest = old_seconds(self._bound)
+        oldest = stale_seconds(self._bound)
         if self._views.reading(now).age > oldest and not self._rests.failing:
             # What came from the other reader is not taken in: those who rely on this node wait.
             return Source("")
         return remote_source(
             neighbours.me.name,
-            neighbours.remote_readings(now),
+            neighbours.remote_read_states(now),
             bound=self._bound,
             failing=self._rests.failing,
             capacity=neighbours.capacity,
@@ -159,11 +159,11 @@
         longest = _LONGEST_REST if relay else _OTHERS_LONGEST_REST
         await self._rests.failed(error, longest=longest)
 
-    def _reading(self, chosen: Neighbour, now: float) -> Reading:
+    def _reading(self, chosen: Neighbour, now: float) -> ReadState:
         """Return how far the node has read that this one relies on."""
         near = self.is_near(chosen)
-        readings = self._neighbours.readings if near else self._neighbours.remote_readings
-        return readings(now).get(chosen.name, Reading())
+        readings = self._neighbours.read_states if near else self._neighbours.remote_read_states
+        return readings(now).get(chosen.name, ReadState())
 
     def is_near(self, node: Neighbour) -> bool:
         """Return whether `node` is in this node's data centre."""
--- a/packages/node/src/fielddrift_node/serving/gossip.py
+++ b/packages/node/src/fielddrift_node/serving/gossip.py
@@ -10,7 +10,7 @@
 import msgspec
 import structlog
 from fielddrift_core.crashes import CrashUpdate
-from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Standing
+from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation
 
 __all__ = ["CrashListener", "Gossip", "Scope"]
 
@@ -28,8 +28,8 @@
 _MAX_DATAGRAM_BYTES = 1400
 """Largest datagram that fits into one packet."""
 
-_UNKNOWN_STANDING = Standing(near=False, mine=False, theirs=False)
-"""Standing used for a node about which nothing is known yet."""
+_UNKNOWN_STANDING = Relation(near=False, self_active=False, peer_active=False)
+"""Relation used for a node about which nothing is known yet."""
 
 _CRASH_UPDATE_MARKER = b"\xc1"
 """First byte of a datagram with a crash update. MessagePack does not use this byte, so no heartbeat
@@ -63,7 +63,7 @@
         self,
         *,
         neighbours: Neighbours,
-        heartbeat: Callable[[Standing], Heartbeat],
+        heartbeat: Callable[[Relation], Heartbeat],
         heard: Callable[[Heartbeat], None],
         crashes: CrashListener | None = None,
     ) -> None:
@@ -109,7 +109,7 @@
             now = self._loop.time()
             # In large fleets the delay is longer, so that one heartbeat carries several changes.
             interval = (
-                self._neighbours.period(Standing(True, True, True), now) * _UPDATE_PERIOD_FRACTION
+                self._neighbours.period(Relation(True, True, True), now) * _UPDATE_PERIOD_FRACTION
             )
             wait = max(_MIN_UPDATE_DELAY_SECONDS, self._update_sent_at + interval - now)
             self._update_timer = self._loop.call_later(wait, self._send_update)
@@ -146,10 +146,10 @@
             _log.warning("heartbeat not understood", sender=str(addr), error=str(error))
             return
         now = self._loop.time()
-        if self._neighbours.is_former(heartbeat.node, now):
+        if self._neighbours.is_former_instance(heartbeat.node, now):
             return
         is_remote = heartbeat.node.data_centre != self._neighbours.me.data_centre
-        if self._neighbours.hear(heartbeat, now):
+        if self._neighbours.receive(heartbeat, now):
             _log.info("node heard", node=heartbeat.node.name, boot=heartbeat.node.boot)
             if not is_remote or self._neighbours.is_relay(now):
                 self._send([heartbeat.node])
@@ -176,7 +176,7 @@
     def _forward(self, heartbeat: Heartbeat, data: bytes, now: float) -> None:
         """Forward a heartbeat from another data centre to the nodes of this data centre."""
         name = heartbeat.node.name
-        active = self._neighbours.near_active(now)
+        active = self._neighbours.nearby_active(now)
         for node in active:
             self._send_to(node.gossip, data)
         forwarded_at = self._forwarded_at.get(name, float("-inf"))
@@ -185,7 +185,7 @@
         self._forwarded_at[name] = now
         standby_data = self._encoder.encode(heartbeat._replace(period=_STANDBY_FORWARD_SECONDS))
         names = {node.name for node in active}
-        for node in self._neighbours.near(now):
+        for node in self._neighbours.nearby(now):
             if node.name not in names:
                 self._send_to(node.gossip, standby_data)
 
@@ -197,17 +197,17 @@
 
     def _recipients(self, scope: Scope, now: float) -> list[Neighbour]:
         if scope is Scope.ACTIVE_LOCAL:
-            return self._neighbours.near_active(now)
-        near = self._neighbours.near(now)
+            return self._neighbours.nearby_active(now)
+        near = self._neighbours.nearby(now)
         if scope is Scope.LOCAL:
             return near
         return [*near, *self._neighbours.remote_contacts(now)]
 
     def _send(self, nodes: list[Neighbour]) -> None:
-        data: dict[Standing, bytes] = {}
+        data: dict[Relation, bytes] = {}
         now = self._loop.time()
         for node in nodes:
-            standing = self._neighbours.standing(node, now)
+            standing = self._neighbours.relation(node, now)
             if standing not in data:
                 data[standing] = self._encoder.encode(self._heartbeat(standing))
             self._send_to(node.gossip, data[standing])
--- a/packages/node/src/fielddrift_node/serving/heartbeats.py
+++ b/packages/node/src/fielddrift_node/serving/heartbeats.py
@@ -11,8 +11,8 @@
 
 import structlog
 from fielddrift_core.evacuations import EVACUATIONS_NAME
-from fielddrift_core.neighbours import Heartbeat, Neighbours, Standing
-from fielddrift_core.relays import CentreSize, nodes_name
+from fielddrift_core.neighbours import Heartbeat, Neighbours, Relation
+from fielddrift_core.relays import DataCentreSize, size_entry_name
 from fielddrift_core.target_notices import LimitWord
 from fielddrift_core.workload import Burden
 
@@ -46,10 +46,10 @@
         self._next_left = 0
         """Where the next heartbeat goes on among the leaving targets."""
 
-    def heartbeat(self, standing: Standing, *, leaving: bool) -> Heartbeat:
+    def heartbeat(self, standing: Relation, *, leaving: bool) -> Heartbeat:
         """Return what to tell a node that stands so to this one."""
         heartbeat = self._common(standing, leaving)
-        if not standing.theirs:
+        if not standing.peer_active:
             return heartbeat
         views = self._views
         now = asyncio.get_running_loop().time()
@@ -70,10 +70,10 @@
     def _for_remote(self, heartbeat: Heartbeat, now: float) -> Heartbeat:
         """Return `heartbeat` with what this node's whole data centre tells others."""
         views, neighbours = self._views, self._neighbours
-        nodes = [node.name for node in neighbours.near_active(now)]
+        nodes = [node.name for node in neighbours.nearby_active(now)]
         size = neighbours.size(now)
         burdens = views.workload.together(nodes, now)
-        name = nodes_name(neighbours.me.data_centre)
+        name = size_entry_name(neighbours.me.data_centre)
         burdens[name] = Burden(running=size.active, memory=size.alive)
         burdens |= self._marks()
         return heartbeat._replace(
@@ -94,9 +94,9 @@
         burdens.pop(EVACUATIONS_NAME, None)
         for name in [name for name in burdens if name.startswith(_LIMIT_PREFIX)]:
             self._heard_limit(name, burdens.pop(name), heartbeat.node.name)
-        size = burdens.pop(nodes_name(centre), None)
+        size = burdens.pop(size_entry_name(centre), None)
         if size is not None:
-            self._neighbours.sized(centre, CentreSize(size.running, size.memory))
+            self._neighbours.set_size(centre, DataCentreSize(size.running, size.memory))
         if views.workload.told(teller, burdens, now):
             # Only then is there more room than before: who waits weighs all engines anew.
             views.rooms.changed()
@@ -113,7 +113,7 @@
                 views.saw_weights(instance, model, version)
                 views.loading.ended(instance)
 
-    def _common(self, standing: Standing, leaving: bool) -> Heartbeat:
+    def _common(self, standing: Relation, leaving: bool) -> Heartbeat:
         views = self._views
         now = asyncio.get_running_loop().time()
         return Heartbeat(
--- a/packages/node/src/fielddrift_node/serving/limit_gate.py
+++ b/packages/node/src/fielddrift_node/serving/limit_gate.py
@@ -35,7 +35,7 @@
         part = self._part(instance.data_centre, now)
         if not part or not knows_owners(self._views, self._neighbours, now):
             return math.inf
-        nodes = self._neighbours.active_lately(now)
+        nodes = self._neighbours.recently_active(now)
         spacing = self._share.spacing(instance.name, rate * part, nodes, now)
         return limits.wait(instance.name, spacing, now)
 
--- a/packages/node/src/fielddrift_node/serving/membership.py
+++ b/packages/node/src/fielddrift_node/serving/membership.py
@@ -66,7 +66,7 @@
 
     def again(self) -> None:
         """Take that the store went back: the first node nearby mends the list at once."""
-        if self._neighbours.is_first_nearby(asyncio.get_running_loop().time()):
+        if self._neighbours.is_local_coordinator(asyncio.get_running_loop().time()):
             self._went_back.set()
 
     @property
@@ -108,7 +108,11 @@
 
     def _rest(self) -> float:
         now = asyncio.get_running_loop().time()
-        nodes = 1 if self._neighbours.is_first_nearby(now) else 1 + len(self._neighbours.alive(now))
+        nodes = (
+            1
+            if self._neighbours.is_local_coordinator(now)
+            else 1 + len(self._neighbours.alive(now))
+        )
         rest = max(_LOOK_SECONDS, nodes * _LOOK_SECONDS_A_NODE)
         return rest * self._rng.uniform(1.0, _LOOK_SPREAD)
 
@@ -123,7 +127,7 @@
         self._silent_rows.look(others, self._heard_of(others, rows, alive))
         listed = {saved.key for saved in rows}
         missing = [node for name, node in {**alive, me.name: me}.items() if name not in listed]
-        first = self._neighbours.is_first_nearby(now)
+        first = self._neighbours.is_local_coordinator(now)
         gone = self._silent_rows.left_behind() if first else {}
         await self._mend(missing, gone)
 
@@ -153,7 +157,7 @@
 
     def _introduce(self, rows: list[SavedRow]) -> None:
         for node in _nodes(rows):
-            self._neighbours.introduce(node)
+            self._neighbours.add(node)
 
 
 def _nodes(rows: list[SavedRow]) -> list[Neighbour]:
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -159,7 +159,7 @@
         self._crash_rows = CrashRows(
             platform=platform,
             views=self._views,
-            first=lambda: self._neighbours.is_first(asyncio.get_running_loop().time()),
+            first=lambda: self._neighbours.is_coordinator(asyncio.get_running_loop().time()),
             rng=rng,
         )
         duty = Duty(
@@ -337,7 +337,7 @@
 
     def _report(self) -> None:
         now = asyncio.get_running_loop().time()
-        self._neighbours.report(
+        self._neighbours.update_self(
             serving=self._serving,
             load=self._views.load.value(now),
             settled=now - self._membership.joined_at > _SETTLE_SECONDS,
@@ -390,7 +390,7 @@
         while True:
             await asyncio.sleep(_FREE_SECONDS)
             self._store_tracker.note_use()
-            if self._leaving or not self._neighbours.is_first(loop.time()):
+            if self._leaving or not self._neighbours.is_coordinator(loop.time()):
                 continue
             try:
                 await self._store_tracker.free_outdated()
--- a/packages/node/src/fielddrift_node/serving/operator_feed.py
+++ b/packages/node/src/fielddrift_node/serving/operator_feed.py
@@ -12,7 +12,7 @@
 from fielddrift_core.eras import version_of
 from fielddrift_core.evacuations import EVACUATIONS_NAME, EvacuationState
 from fielddrift_core.neighbours import Heartbeat, Neighbour
-from fielddrift_core.readers import OPERATORS_WAIT_SECONDS
+from fielddrift_core.readers import OPERATORS_POLL_SECONDS
 
 from .feeds import Feed, FeedTools
 from .ports import HistoryGone, NamedWeights, OperatorNews, OutOfReach
@@ -23,7 +23,7 @@
 _READER_SECONDS = 0.6
 """How long the reader is given for what nodes elsewhere have: it takes some 0.1 s in good
 health, and 2 s after a change it must be in force."""
-_OLD_SECONDS = 2 * OPERATORS_WAIT_SECONDS
+_OLD_SECONDS = 2 * OPERATORS_POLL_SECONDS
 """Age of a node's own reading from which it first reads without waiting: in good health
 it grows up to one wait."""
 
@@ -135,7 +135,7 @@
         # Whose own reading is old seems to hang: others rely on it once it has read.
         old = began - self._views.operators_at > _OLD_SECONDS
         at_once = hurry or old or self._after is None or self._rests.failing
-        news = await self._ask(0.0 if at_once else OPERATORS_WAIT_SECONDS)
+        news = await self._ask(0.0 if at_once else OPERATORS_POLL_SECONDS)
         if news is None:
             # What it should have told stands there to be read, over a new connection.
             self._hurry = True
@@ -155,7 +155,7 @@
             return
         now = asyncio.get_running_loop().time()
         # The age leaves out the wait that is due to a call for these rows.
-        read_at = now - self._reading(reader, now).age - OPERATORS_WAIT_SECONDS
+        read_at = now - self._reading(reader, now).age - OPERATORS_POLL_SECONDS
         self._views.operators_at = max(self._views.operators_at, read_at)
 
     async def _ask(self, wait: float) -> OperatorNews | None:
--- a/packages/node/src/fielddrift_node/serving/owners.py
+++ b/packages/node/src/fielddrift_node/serving/owners.py
@@ -15,4 +15,4 @@
 
 def knows_owners(views: Views, neighbours: Neighbours, now: float) -> bool:
     """Return whether this node knows who was active of late, also of those it cannot hear."""
-    return views.age(now) >= _SETTLE_SECONDS and neighbours.knows_active(now)
+    return views.age(now) >= _SETTLE_SECONDS and neighbours.had_recent_quorum(now)
--- a/packages/node/src/fielddrift_node/serving/rollout_runner.py
+++ b/packages/node/src/fielddrift_node/serving/rollout_runner.py
@@ -140,7 +140,7 @@
         active = [node.name for node in self._neighbours.active_everywhere(now)]
         if self._neighbours.is_active(now):
             return sum(name < me for name in active)
-        before = sum(n.name < me and n.name not in active for n in self._neighbours.near(now))
+        before = sum(n.name < me and n.name not in active for n in self._neighbours.nearby(now))
         return min(len(active), _MOST_BEFORE_STANDBY) + before
 
     def _work(self) -> list[_Work]:
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -8,9 +8,9 @@
 from collections.abc import Mapping
 
 import structlog
-from fielddrift_core.neighbours import KeptMark, Neighbours
+from fielddrift_core.neighbours import Neighbours, StorePosition
 from fielddrift_core.prompt import Part
-from fielddrift_core.readers import OLD_MARK_SECONDS, reader, source_of_each
+from fielddrift_core.readers import STALE_POSITION_SECONDS, reader, store_sources
 from fielddrift_core.store_index import KeptChange, StoreView
 
 from .kept import salt_of
@@ -45,7 +45,7 @@
 
 def _patience(known: bool) -> float:
     """Return how long a store's view may come from nobody before this node listens itself."""
-    return OLD_MARK_SECONDS if known else _FIRST_PATIENCE_SECONDS
+    return STALE_POSITION_SECONDS if known else _FIRST_PATIENCE_SECONDS
 
 
 class StoreTracker:
@@ -141,7 +141,7 @@
             return set(known)
         names = [self._neighbours.me.name, *marks]
         self._listener = reader(_LISTENER_KEY, names, capacity=capacity)
-        self._sources = source_of_each(known, marks, self._listener)
+        self._sources = store_sources(known, marks, self._listener)
         if self._listener == self._neighbours.me.name:
             return set()
         for store in self._sources:
@@ -155,8 +155,8 @@
         }
 
     def _reached(
-        self, marks: Mapping[str, Mapping[str, KeptMark]], now: float
-    ) -> dict[str, Mapping[str, KeptMark]]:
+        self, marks: Mapping[str, Mapping[str, StorePosition]], now: float
+    ) -> dict[str, Mapping[str, StorePosition]]:
         """Leave out the nodes that did not answer lately."""
         return {name: seen for name, seen in marks.items() if now >= self._unreached.get(name, now)}
 
--- a/packages/node/src/fielddrift_node/serving/target_feed.py
+++ b/packages/node/src/fielddrift_node/serving/target_feed.py
@@ -10,7 +10,7 @@
 import structlog
 from fielddrift_core.eras import era_of, version_of
 from fielddrift_core.neighbours import Neighbour
-from fielddrift_core.readers import Reading, read_seconds
+from fielddrift_core.readers import ReadState, read_interval_seconds
 from fielddrift_core.target_registry import Instance
 
 from .feeds import Feed, FeedTools
@@ -30,7 +30,7 @@
     serial: int
 
 
-def _mark(node: Neighbour, reading: Reading) -> _CopyMark:
+def _mark(node: Neighbour, reading: ReadState) -> _CopyMark:
     return _CopyMark(node.name, node.boot, reading.serial)
 
 
@@ -52,7 +52,7 @@
         entries may have lapsed unseen since."""
         self._wake = asyncio.Event()
 
-    def heard(self, node: Neighbour, reading: Reading) -> None:
+    def heard(self, node: Neighbour, reading: ReadState) -> None:
         """Take how far `node` has read; look at once where it is the reader."""
         self.returned()
         copied = self._copied
@@ -96,7 +96,7 @@
         if chosen is not None and relies and await self._rely_on(chosen):
             return self._listen_seconds()
         await self._read()
-        return read_seconds(self._bound)
+        return read_interval_seconds(self._bound)
 
     async def _rely_on(self, chosen: Neighbour) -> bool:
         """Follow what another node lists; return whether it could be asked."""
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -16,7 +16,7 @@
 from fielddrift_core.loading import LoadingEngines
 from fielddrift_core.memory import EngineMemory
 from fielddrift_core.pace import Pace
-from fielddrift_core.readers import OPERATORS_WAIT_SECONDS, Reading
+from fielddrift_core.readers import OPERATORS_POLL_SECONDS, ReadState
 from fielddrift_core.rollout import EngineWeights, NamedTimes, Naming, VersionAge, soon_loading
 from fielddrift_core.store_index import StoreIndex
 from fielddrift_core.target_notices import TargetLimits, TargetPauses
@@ -159,11 +159,11 @@
         self.named_times.heard(weights.model, weights.version, now)
         return True
 
-    def reading(self, now: float) -> Reading:
+    def reading(self, now: float) -> ReadState:
         """Return how far this node itself has read."""
         # Who reads one of both and hangs with the other must not be relied on.
-        age = max(now - self.targets_at, now - self.operators_at - OPERATORS_WAIT_SECONDS)
-        return Reading(self.operators_row, self.targets_row, self.registry.serial, age)
+        age = max(now - self.targets_at, now - self.operators_at - OPERATORS_POLL_SECONDS)
+        return ReadState(self.operators_row, self.targets_row, self.registry.serial, age)
 
     def heard_ages(self, ages: Iterable[VersionAge], now: float) -> None:
         """Take for how long another node has known named weights.
--- a/tests/target_views.py
+++ b/tests/target_views.py
@@ -13,7 +13,7 @@
 
 import msgspec
 from fielddrift_core.names import rank
-from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Standing
+from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation
 from fielddrift_core.readers import READER_KEY
 from fielddrift_core.target_registry import RESPITE_SECONDS, Instance
 from fielddrift_node.serving.feeds import FeedTools
@@ -98,7 +98,7 @@
         self.views = Views()
         me = Neighbour(name, boot, "a", f"{name}:1", f"{name}:2", f"{name}:3")
         self.neighbours = Neighbours(me=me)
-        self.neighbours.report(serving=True, load=0.0)
+        self.neighbours.update_self(serving=True, load=0.0)
         self.handler = PeerHandler(views=self.views)
         self.translator = HeartbeatTranslator(views=self.views, neighbours=self.neighbours)
         tools = FeedTools(
@@ -150,14 +150,14 @@
 
     def heartbeat(self) -> Heartbeat:
         """Return what it tells others now, as it arrives there."""
-        told = self.translator.heartbeat(Standing(True, True, True), leaving=False)
+        told = self.translator.heartbeat(Relation(True, True, True), leaving=False)
         # Ready means a catalog besides, which nothing here needs.
         told = told._replace(ready=True)
         return msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=Heartbeat)
 
     def hear(self, heartbeat: Heartbeat) -> None:
         """Take a heartbeat, as a serving node does."""
-        self.neighbours.hear(heartbeat, asyncio.get_running_loop().time())
+        self.neighbours.receive(heartbeat, asyncio.get_running_loop().time())
         self.translator.heard(heartbeat)
         self.feed.heard(heartbeat.node, heartbeat.reading)
 
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -122,7 +122,7 @@
         self.boots += 1
         me = Neighbour(f"n{number}", self.boots, "a", f"n{number}:1", "g:1", "p:1", 100.0)
         self.nodes[number] = Neighbours(me=me)
-        self.nodes[number].report(serving=True, load=40.0)
+        self.nodes[number].update_self(serving=True, load=40.0)
         self.sends[number] = ColdSends()
         self.shares[number] = OwnShare(node=me.name)
         for target in TARGETS:
@@ -130,7 +130,7 @@
         self.begun[number] = self.now
         self.frozen.discard(number)
         for other in self.nodes.values():
-            self.nodes[number].introduce(other.me)
+            self.nodes[number].add(other.me)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -168,13 +168,13 @@
         heartbeat = Heartbeat(teller.me, True, False, 1, {}, {}, active=active, load=40.0)
         for other in self.nodes.keys() - self.frozen - {number}:
             if not {number, other} & self.cut and self.rng.random() >= self.lost:
-                self.nodes[other].hear(heartbeat, self.now)
+                self.nodes[other].receive(heartbeat, self.now)
 
     def _send(self, number: int) -> None:
         age = self.now - self.begun[number]
-        if age < 1.1 or not self.nodes[number].knows_active(self.now):
+        if age < 1.1 or not self.nodes[number].had_recent_quorum(self.now):
             return
-        nodes = self.nodes[number].active_lately(self.now)
+        nodes = self.nodes[number].recently_active(self.now)
         for target in TARGETS:
             sends = self.shares[number].sends(target, nodes, BOUND, self.now)
             while self.sends[number].has_room(target, sends, self.now):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -5,7 +5,7 @@
 import unittest
 
 import msgspec
-from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Standing
+from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation
 from fielddrift_node.serving.gossip import Gossip
 
 
@@ -33,5 +33,5 @@
             gossip.datagram_received(msgspec.msgpack.encode(told), ("127.0.0.1", 1))
         self.assertEqual(heard, [9])
 
-    def _heartbeat(self, standing: Standing) -> Heartbeat:
+    def _heartbeat(self, standing: Relation) -> Heartbeat:
         return Heartbeat(neighbour("me", 1), True, False, 1, {}, {})
--- a/tests/test_limit_share.py
+++ b/tests/test_limit_share.py
@@ -9,7 +9,7 @@
 
 import msgspec
 from fielddrift_core.limit_share import LimitShare, owners_of
-from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Standing
+from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation
 from fielddrift_core.target_notices import LimitWord, TargetLimits, TargetPauses
 from fielddrift_core.target_registry import Instance
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
@@ -51,9 +51,9 @@
 
     def _send(self, number: int) -> None:
         age = self.now - self.begun[number]
-        if age < 1.1 or not self.nodes[number].knows_active(self.now):
+        if age < 1.1 or not self.nodes[number].had_recent_quorum(self.now):
             return
-        nodes = self.nodes[number].active_lately(self.now)
+        nodes = self.nodes[number].recently_active(self.now)
         for target in TARGETS:
             spacing = self._limits[number].spacing(target, self._rate, nodes, self.now)
             if self._sent[number].wait(target, spacing, self.now) <= 0:
@@ -128,7 +128,7 @@
         self.views = Views(began_at=0.0)
         me = Neighbour("n1", 1, "b", "h:1", "h:2", "h:3")
         self.neighbours = Neighbours(me=me)
-        self.neighbours.report(serving=True, load=1.0)
+        self.neighbours.update_self(serving=True, load=1.0)
         self.gate = LimitGate(views=self.views, neighbours=self.neighbours)
         self.views.limits.named("t", 1.0, 9.0)
 
@@ -137,7 +137,7 @@
 
     def hear(self, data_centre: str) -> None:
         node = Neighbour(f"n-{data_centre}", 1, data_centre, "g:1", "g:2", "g:3")
-        self.neighbours.hear(Heartbeat(node, True, False, 1, {}, {}, active=True), 9.9)
+        self.neighbours.receive(Heartbeat(node, True, False, 1, {}, {}, active=True), 9.9)
 
     def test_other_data_centres_leave_a_target_to_the_nodes_of_its_own(self) -> None:
         self.hear("c")
@@ -223,13 +223,13 @@
         return Told(views, HeartbeatTranslator(views=views, neighbours=Neighbours(me=me)))
 
     async def test_every_node_hears_of_a_limit_and_of_its_end(self) -> None:
-        for standing in (Standing(True, True, True), Standing(True, False, False)):
+        for standing in (Relation(True, True, True), Relation(True, False, False)):
             heartbeat = self.teller.translator.heartbeat(standing, leaving=False)
             self.hearer.translator.heard(heartbeat)
             self.assertEqual(self.hearer.views.limits.rate("t"), 1.3)
         now = asyncio.get_running_loop().time()
         self.teller.views.limits.unnamed("t", sent_at=now + 0.1, now=now + 0.2)
-        heartbeat = self.teller.translator.heartbeat(Standing(False, True, True), leaving=False)
+        heartbeat = self.teller.translator.heartbeat(Relation(False, True, True), leaving=False)
         self.hearer.translator.heard(heartbeat)
         self.assertIsNone(self.hearer.views.limits.rate("t"))
 
@@ -238,20 +238,20 @@
         for rate in (0.0, 0.0001, 1 / 3, 1e300):
             limits = self.teller.views.limits
             limits.named("t", rate, now)
-            heartbeat = self.teller.translator.heartbeat(Standing(True, True, True), leaving=False)
+            heartbeat = self.teller.translator.heartbeat(Relation(True, True, True), leaving=False)
             data = msgspec.msgpack.encode(heartbeat)
             self.hearer.translator.heard(msgspec.msgpack.decode(data, type=Heartbeat))
             self.assertEqual(self.hearer.views.limits.rate("t"), limits.rate("t"))
             self.hearer.views.limits = TargetLimits()
 
     async def test_a_limit_is_no_load(self) -> None:
-        heartbeat = self.teller.translator.heartbeat(Standing(True, True, True), leaving=False)
+        heartbeat = self.teller.translator.heartbeat(Relation(True, True, True), leaving=False)
         self.hearer.translator.heard(heartbeat)
         now = asyncio.get_running_loop().time()
         self.assertEqual(self.hearer.views.workload.together(["n1"], now), {})
 
     async def test_words_that_a_relay_of_the_release_before_added_up_are_dropped(self) -> None:
-        heartbeat = self.teller.translator.heartbeat(Standing(True, True, True), leaving=False)
+        heartbeat = self.teller.translator.heartbeat(Relation(True, True, True), leaving=False)
         ((name, mark),) = heartbeat.burdens.items()
         self.hearer.translator.heard(heartbeat._replace(burdens={name: mark + mark}))
         self.assertIsNone(self.hearer.views.limits.rate("t"))
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -8,8 +8,8 @@
 
 from fielddrift_core.active import Candidate, active_names
 from fielddrift_core.names import rank
-from fielddrift_core.neighbours import Heartbeat, KeptMark, Neighbour, Neighbours, Standing
-from fielddrift_core.readers import Reading, reader, source, source_of_each
+from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation, StorePosition
+from fielddrift_core.readers import ReadState, reader, source, store_sources
 from fielddrift_core.workload import PeakRate
 from fielddrift_node.serving.views import Views
 from hypothesis import given, settings
@@ -24,7 +24,7 @@
     return Heartbeat(node, ready, leaving, 1, {}, {})
 
 
-def own_reading(*, targets: float, operators: float) -> Reading:
+def own_reading(*, targets: float, operators: float) -> ReadState:
     """Return what a node tells of its readings, made so many seconds ago."""
     views = Views()
     views.targets_at, views.operators_at = -targets, -operators
@@ -42,10 +42,10 @@
 
     def test_a_lower_life_is_taken_once_the_higher_one_is_silent(self) -> None:
         neighbours = Neighbours(me=neighbour("me"))
-        neighbours.hear(heartbeat(neighbour("n1", boot=9)), 0.0)
-        self.assertFalse(neighbours.hear(heartbeat(neighbour("n1", boot=7)), 0.5))
+        neighbours.receive(heartbeat(neighbour("n1", boot=9)), 0.0)
+        self.assertFalse(neighbours.receive(heartbeat(neighbour("n1", boot=7)), 0.5))
         self.assertEqual(neighbours.node("n1"), neighbour("n1", boot=9))
-        self.assertTrue(neighbours.hear(heartbeat(neighbour("n1", boot=7)), 2.5))
+        self.assertTrue(neighbours.receive(heartbeat(neighbour("n1", boot=7)), 2.5))
         self.assertEqual(neighbours.node("n1"), neighbour("n1", boot=7))
         self.assertEqual([node.boot for node in neighbours.alive(2.6)], [7])
 
@@ -53,24 +53,24 @@
         # Its sends and leaving targets would stand beside those of the new life.
         me = neighbour("me")
         neighbours = Neighbours(me=me)
-        neighbours.hear(heartbeat(neighbour("n1", boot=9)), 0.0)
-        self.assertTrue(neighbours.is_former(neighbour("n1", boot=7), 0.5))
-        self.assertTrue(neighbours.is_former(me._replace(boot=0), 0.5))
-        self.assertFalse(neighbours.is_former(neighbour("n1", boot=9), 0.5))
-        self.assertFalse(neighbours.is_former(neighbour("n2"), 0.5))
+        neighbours.receive(heartbeat(neighbour("n1", boot=9)), 0.0)
+        self.assertTrue(neighbours.is_former_instance(neighbour("n1", boot=7), 0.5))
+        self.assertTrue(neighbours.is_former_instance(me._replace(boot=0), 0.5))
+        self.assertFalse(neighbours.is_former_instance(neighbour("n1", boot=9), 0.5))
+        self.assertFalse(neighbours.is_former_instance(neighbour("n2"), 0.5))
 
 
 class TestReaders(unittest.TestCase):
     def test_one_reads_for_all_and_when_it_grows_old_each_reads(self) -> None:
         names = ["n1", "n2", "n3"]
-        fresh = {name: Reading(age=0.1) for name in names}
+        fresh = {name: ReadState(age=0.1) for name in names}
         readers = set()
         for name in names:
             others = {n: r for n, r in fresh.items() if n != name}
             readers.add(source(name, "platform", others, active=names).name or name)
         self.assertEqual(len(readers), 1)
         (reader,) = readers
-        old = {n: Reading(age=5.0) for n in names}
+        old = {n: ReadState(age=5.0) for n in names}
         for name in names:
             others = {n: r for n, r in old.items() if n != name}
             self.assertEqual(source(name, "platform", others, active=names).name, "", reader)
@@ -82,46 +82,50 @@
         ages = {order[0]: 3.0, order[1]: 0.1, order[2]: 0.4, "n4": 0.4}
         found = {}
         for name in names:
-            others = {n: Reading(age=age) for n, age in ages.items() if n != name}
+            others = {n: ReadState(age=age) for n, age in ages.items() if n != name}
             found[name] = source(name, "platform", others, active=active).name
         self.assertEqual(found, {order[0]: "", order[1]: "", order[2]: order[1], "n4": order[1]})
 
     def test_a_reader_whose_operators_rows_grow_old_is_not_relied_on(self) -> None:
         names = ["n1", "n2", "n3"]
         first, second, third = rank("platform", [(name, 1.0) for name in names])
-        fresh = {first: own_reading(targets=0.1, operators=1.7), second: Reading(age=0.1)}
+        fresh = {first: own_reading(targets=0.1, operators=1.7), second: ReadState(age=0.1)}
         self.assertEqual(source(third, "platform", fresh, active=names).name, first)
         # Its view of the targets is fresh, the call for the other rows hangs.
-        hung = {first: own_reading(targets=0.1, operators=2.3), second: Reading(age=0.1)}
+        hung = {first: own_reading(targets=0.1, operators=2.3), second: ReadState(age=0.1)}
         self.assertEqual(source(third, "platform", hung, active=names).name, second)
         hung = {n: reading._replace(age=reading.age + 2.3) for n, reading in fresh.items()}
         self.assertEqual(source(third, "platform", hung, active=names).name, "")
 
     def test_a_node_that_stands_by_never_reads_for_others_and_waits_longer(self) -> None:
-        late = {"n1": Reading(age=1.5), "n2": Reading(age=1.6)}
+        late = {"n1": ReadState(age=1.5), "n2": ReadState(age=1.6)}
         self.assertEqual(source("n3", "k", late, active=["n1", "n2"]).name, "n1")
-        lost = {"n1": Reading(age=2.5), "n2": Reading(age=2.6)}
+        lost = {"n1": ReadState(age=2.5), "n2": ReadState(age=2.6)}
         self.assertEqual(source("n3", "k", lost, active=["n1", "n2"]).name, "")
         # Where more time is given, readings are further apart.
         self.assertEqual(source("n3", "k", lost, active=["n1", "n2"], bound=4.0).name, "n1")
-        lost = {name: Reading(age=3.1) for name in ("n1", "n2")}
+        lost = {name: ReadState(age=3.1) for name in ("n1", "n2")}
         self.assertEqual(source("n3", "k", lost, active=["n1", "n2"], bound=4.0).name, "")
 
     def test_large_hosts_read_for_small_ones(self) -> None:
         sizes = {"n1": 20.0, "n2": 20.0, "n3": 500.0, "n4": 20.0}
         for key in ("platform", "stores", "x", "y"):
             self.assertEqual(reader(key, sizes, capacity=sizes.__getitem__), "n3")
-        readings = {name: Reading(age=0.1) for name in sizes if name != "n1"}
+        readings = {name: ReadState(age=0.1) for name in sizes if name != "n1"}
         found = source("n1", "platform", readings, active=sizes, capacity=sizes.__getitem__)
         self.assertEqual(found.name, "n3")
 
     def test_each_store_is_copied_from_whoever_hears_it_while_a_new_listener_does_not(self) -> None:
         marks = {
-            "listener": {"s1": KeptMark(1, 5, 0.1)},
-            "n2": {"s1": KeptMark(1, 5, 0.0), "s2": KeptMark(1, 5, 0.4), "s3": KeptMark(1, 5, 9.0)},
-            "n3": {"s2": KeptMark(1, 5, 0.2)},
+            "listener": {"s1": StorePosition(1, 5, 0.1)},
+            "n2": {
+                "s1": StorePosition(1, 5, 0.0),
+                "s2": StorePosition(1, 5, 0.4),
+                "s3": StorePosition(1, 5, 9.0),
+            },
+            "n3": {"s2": StorePosition(1, 5, 0.2)},
         }
-        found = source_of_each(["s1", "s2", "s3", "s4"], marks, "listener")
+        found = store_sources(["s1", "s2", "s3", "s4"], marks, "listener")
         self.assertEqual(found, {"s1": "listener", "s2": "n3"})
 
 
@@ -137,7 +141,7 @@
         everyone += [neighbour(f"f{n:02}", "b") for n in range(far)]
         views = {node.name: Neighbours(me=node) for node in everyone}
         for view, node in itertools.product(views.values(), everyone):
-            view.introduce(node)
+            view.add(node)
         read: dict[str, float] = {}
         ended: frozenset[str] = frozenset()
         for step in itertools.count():
@@ -146,8 +150,8 @@
                 ended = views["n00"].active(now)
             for name in [name for name in views if name not in ended]:
                 view = views[name]
-                view.report(serving=True, load=1.0)
-                seen, active = view.readings(now), view.active(now)
+                view.update_self(serving=True, load=1.0)
+                seen, active = view.read_states(now), view.active(now)
                 if not source(name, "platform", seen, active=active).name:
                     read[name] = now
                     if ended and name.startswith("n"):
@@ -159,11 +163,11 @@
         view = views[name]
         for node in view.due(now):
             told = heartbeat(view.me)._replace(
-                reading=Reading(age=age),
+                reading=ReadState(age=age),
                 active=view.is_active(now),
-                period=view.period(view.standing(node, now), now),
+                period=view.period(view.relation(node, now), now),
             )
-            views[node.name].hear(told, now)
+            views[node.name].receive(told, now)
 
     def test_those_that_stand_by_read_in_time_for_a_new_catalog(self) -> None:
         # A look each 0.3 s, a call and a copy come after it: a catalog is in force 2 s after
@@ -180,37 +184,37 @@
         return self.view.addresses(data_centre, now)
 
     def test_a_silent_node_leaves_the_answers_and_a_heard_one_returns(self) -> None:
-        self.view.hear(heartbeat(neighbour("n1")), 0.0)
+        self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.assertEqual(self._addresses(0.5), ["n1:80"])
         self.assertEqual(self._addresses(2.0), [])
-        self.view.hear(heartbeat(neighbour("n1")), 2.0)
+        self.view.receive(heartbeat(neighbour("n1")), 2.0)
         self.assertEqual(len(self._addresses(2.1)), 1)
 
     def test_a_leaving_node_leaves_the_answers_at_once(self) -> None:
-        self.view.hear(heartbeat(neighbour("n1")), 0.0)
+        self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.assertEqual(len(self._addresses(0.01)), 1)
-        self.view.hear(heartbeat(neighbour("n1"), leaving=True), 0.02)
+        self.view.receive(heartbeat(neighbour("n1"), leaving=True), 0.02)
         self.assertEqual(self._addresses(0.03), [])
-        self.view.report(serving=True, load=0.0)
+        self.view.update_self(serving=True, load=0.0)
         self.assertEqual(self._addresses(0.04), ["me:80"])
-        self.view.report(serving=False, load=0.0)
+        self.view.update_self(serving=False, load=0.0)
         self.assertEqual(self._addresses(0.05), [])
 
     def test_a_beat_of_an_earlier_life_is_ignored(self) -> None:
-        self.view.hear(heartbeat(neighbour("n1", boot=2)), 0.0)
-        self.view.hear(heartbeat(neighbour("n1", boot=1), leaving=True), 0.1)
+        self.view.receive(heartbeat(neighbour("n1", boot=2)), 0.0)
+        self.view.receive(heartbeat(neighbour("n1", boot=1), leaving=True), 0.1)
         self.assertEqual(len(self._addresses(0.2)), 1)
 
     def test_callers_are_sent_to_their_own_data_centre_first(self) -> None:
-        self.view.hear(heartbeat(neighbour("n1", "a")), 0.0)
-        self.view.hear(heartbeat(neighbour("n2", "b")), 0.0)
+        self.view.receive(heartbeat(neighbour("n1", "a")), 0.0)
+        self.view.receive(heartbeat(neighbour("n2", "b")), 0.0)
         self.assertEqual(self._addresses(0.1, "b"), ["n2:80"])
         self.assertEqual(self._addresses(0.1, "c"), ["n1:80", "n2:80"])
 
     def test_heartbeats_a_second_do_not_grow_without_bound(self) -> None:
         for number in range(200):
             many = heartbeat(neighbour(f"n{number}"))._replace(period=3.0)
-            self.view.hear(many, 0.0)
+            self.view.receive(many, 0.0)
         self.assertEqual(len(self.view.due(0.0)), 200)
         sent = sum(len(self.view.due(tick / 20)) for tick in range(1, 41))
         self.assertLessEqual(sent, 150)
@@ -219,44 +223,44 @@
         return sum(len(self.view.due(began + tick)) for tick in range(0, seconds, 5))
 
     def test_a_node_that_is_never_heard_or_silent_for_minutes_is_forgotten(self) -> None:
-        self.view.introduce(neighbour("n1"))
-        self.view.hear(heartbeat(neighbour("n2")), 0.0)
+        self.view.add(neighbour("n1"))
+        self.view.receive(heartbeat(neighbour("n2")), 0.0)
         self.assertGreater(self._sent_to_silent_ones(20.0, 60), 20)
-        self.assertEqual(len(self.view.known(100.0)), 2)
+        self.assertEqual(len(self.view.known_nodes(100.0)), 2)
         self._sent_to_silent_ones(100.0, 900)
-        self.assertEqual(self.view.known(1000.0), [])
+        self.assertEqual(self.view.known_nodes(1000.0), [])
         self.assertEqual(self._sent_to_silent_ones(1000.0, 60), 0)
-        self.view.introduce(neighbour("n1"))
-        self.assertTrue(self.view.hear(heartbeat(neighbour("n2")), 1100.0))
+        self.view.add(neighbour("n1"))
+        self.assertTrue(self.view.receive(heartbeat(neighbour("n2")), 1100.0))
         self.assertEqual(len(self.view.due(1100.0)), 2)
 
     def test_a_process_that_was_paused_for_long_forgets_nobody(self) -> None:
-        self.view.hear(heartbeat(neighbour("n1")), 0.0)
+        self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.view.due(0.1)
         self.assertEqual(len(self.view.due(7200.0)), 1)
-        self.assertEqual(len(self.view.known(7200.1)), 1)
+        self.assertEqual(len(self.view.known_nodes(7200.1)), 1)
 
     def test_a_node_that_answers_now_and_then_is_not_forgotten(self) -> None:
         for minute in range(60):
-            self.view.hear(heartbeat(neighbour("n1")), minute * 60.0)
+            self.view.receive(heartbeat(neighbour("n1")), minute * 60.0)
             self._sent_to_silent_ones(minute * 60.0, 60)
-        self.assertEqual(len(self.view.known(3600.0)), 1)
+        self.assertEqual(len(self.view.known_nodes(3600.0)), 1)
 
     def test_the_first_of_the_active_nodes_does_what_one_does_for_all(self) -> None:
-        self.view.report(serving=True, load=0.0)
-        self.view.hear(heartbeat(neighbour("n1")), 0.0)
-        self.assertTrue(self.view.is_first(0.1))
-        self.view.hear(heartbeat(neighbour("a1")), 0.2)
-        self.assertFalse(self.view.is_first(0.3))
-        self.view.report(serving=False, load=0.0)
-        self.assertFalse(self.view.is_first(9.0))
+        self.view.update_self(serving=True, load=0.0)
+        self.view.receive(heartbeat(neighbour("n1")), 0.0)
+        self.assertTrue(self.view.is_coordinator(0.1))
+        self.view.receive(heartbeat(neighbour("a1")), 0.2)
+        self.assertFalse(self.view.is_coordinator(0.3))
+        self.view.update_self(serving=False, load=0.0)
+        self.assertFalse(self.view.is_coordinator(9.0))
 
     def test_a_longer_period_is_told_at_once(self) -> None:
-        self.view.report(serving=True, load=0.0)
-        self.view.hear(heartbeat(neighbour("n1")), 0.0)
+        self.view.update_self(serving=True, load=0.0)
+        self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.assertEqual(len(self.view.due(0.0)), 1)
         self.assertEqual(self.view.due(0.05), [])
-        self.view.report(serving=False, load=0.0)
+        self.view.update_self(serving=False, load=0.0)
         self.assertEqual(len(self.view.due(0.06)), 1)
 
 
@@ -288,9 +292,9 @@
 
     def _view(self, names: list[str]) -> Neighbours:
         view = Neighbours(me=neighbour("n0"))
-        view.report(serving=True, load=0.0)
+        view.update_self(serving=True, load=0.0)
         for name in names:
-            view.hear(heartbeat(neighbour(name))._replace(period=0.25), 0.0)
+            view.receive(heartbeat(neighbour(name))._replace(period=0.25), 0.0)
         return view
 
     def test_a_host_that_stands_by_takes_the_place_of_one_that_fell_silent(self) -> None:
@@ -301,7 +305,7 @@
         silent = min(chosen - {"n0"})
         for name in names:
             if name != silent:
-                view.hear(heartbeat(neighbour(name))._replace(period=0.25), 1.2)
+                view.receive(heartbeat(neighbour(name))._replace(period=0.25), 1.2)
         after = view.active(1.5)
         self.assertNotIn(silent, after)
         self.assertEqual(len(after), 3)
@@ -315,8 +319,8 @@
 
     def test_nodes_that_stand_by_beat_seldom_and_say_so(self) -> None:
         view = self._view([f"n{number}" for number in range(1, 30)])
-        both = view.period(Standing(near=True, mine=True, theirs=True), 0.1)
-        none = view.period(Standing(near=True, mine=False, theirs=False), 0.1)
+        both = view.period(Relation(near=True, self_active=True, peer_active=True), 0.1)
+        none = view.period(Relation(near=True, self_active=False, peer_active=False), 0.1)
         self.assertLess(both, 0.2)
         self.assertGreaterEqual(none, 3.0)
 
--- a/tests/test_new_reader.py
+++ b/tests/test_new_reader.py
@@ -7,7 +7,7 @@
 import unittest
 
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours
-from fielddrift_core.readers import Reading
+from fielddrift_core.readers import ReadState
 from fielddrift_node.serving.feeds import FeedTools
 from fielddrift_node.serving.operator_feed import OperatorFeed
 from fielddrift_node.serving.ports import NamedWeights, OperatorNews
@@ -62,7 +62,7 @@
         store, views = Store(), Views()
         views.take_weights(NamedWeights("m", 0), loop.time())
         neighbours = Neighbours(me=_neighbour("me"))
-        neighbours.report(serving=True, load=0.0)
+        neighbours.update_self(serving=True, load=0.0)
         tools = FeedTools(
             platform=store,  # type: ignore[arg-type]
             peers=store,  # type: ignore[arg-type]
@@ -74,8 +74,8 @@
         # "reader" is a larger host, and so goes before this node.
         reader = _neighbour("reader")._replace(capacity=100.0)
         told = Heartbeat(reader, True, False, 0, {"m": 1}, {}, period=0.15)
-        told = told._replace(reading=Reading(_ROW, 1, 1, 0.1))
-        neighbours.hear(told, loop.time())
+        told = told._replace(reading=ReadState(_ROW, 1, 1, 0.1))
+        neighbours.receive(told, loop.time())
         task = asyncio.ensure_future(feed.run())
         feed.heard(told)
         while not store.asked_at:
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -28,7 +28,7 @@
 from .test_neighbours import heartbeat, neighbour
 
 QUICK_LOOKS = {"_LOOK_SECONDS": 0.1, "_LOOK_SECONDS_A_NODE": 0.01}
-QUICK_SILENCE = {"_SILENT_SECONDS": 0.5, "_SILENT_HEARTBEAT_SECONDS": 0.1, "_MOST_UNANSWERED": 5}
+QUICK_SILENCE = {"_SILENT_SECONDS": 0.5, "_SILENT_HEARTBEAT_SECONDS": 0.1, "_MAX_UNANSWERED": 5}
 LOOKS = 5
 
 
@@ -100,7 +100,7 @@
     async def asyncSetUp(self) -> None:
         self.table = Table()
         self.view = Neighbours(me=neighbour("me"))
-        self.view.report(serving=True, load=0.0)
+        self.view.update_self(serving=True, load=0.0)
         self.membership = Membership(
             settings=SimpleNamespace(seeds=(), host="h", gossip_port=1),  # type: ignore[arg-type]
             platform=self.table,  # type: ignore[arg-type]
@@ -114,7 +114,7 @@
     async def _look(self, times: int = 1) -> None:
         for _ in range(times):
             now = asyncio.get_running_loop().time()
-            self.view.hear(heartbeat(neighbour("n1")), now)
+            self.view.receive(heartbeat(neighbour("n1")), now)
             await self.membership._look()
 
     async def test_a_look_is_one_call_where_nothing_is_wrong(self) -> None:
@@ -142,7 +142,7 @@
         self.assertEqual(self.table.rows_by_key["n1"].value, encoded(neighbour("n1")))
 
     async def test_only_the_first_active_node_drops_rows(self) -> None:
-        self.view.hear(
+        self.view.receive(
             heartbeat(neighbour("a0"))._replace(period=60.0), asyncio.get_running_loop().time()
         )
         await self._look(3 * LOOKS)
--- a/tests/test_operator_feed.py
+++ b/tests/test_operator_feed.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours
-from fielddrift_core.readers import Reading
+from fielddrift_core.readers import ReadState
 from fielddrift_node.serving.feeds import FeedTools
 from fielddrift_node.serving.operator_feed import OperatorFeed
 from fielddrift_node.serving.ports import NamedWeights, OperatorNews, OutOfReach
@@ -254,9 +254,11 @@
         neighbours = Neighbours(me=neighbour("me"))
         # A larger host reads for this one, and tells that all is well.
         reader = neighbour("reader")._replace(capacity=100.0)
-        told = Heartbeat(reader, True, False, 0, {}, {}, reading=Reading(1, 1, 1, 0.0), period=9.0)
-        neighbours.hear(told, self.loop.time())
-        neighbours.report(serving=True, load=0.0)
+        told = Heartbeat(
+            reader, True, False, 0, {}, {}, reading=ReadState(1, 1, 1, 0.0), period=9.0
+        )
+        neighbours.receive(told, self.loop.time())
+        neighbours.update_self(serving=True, load=0.0)
         tools = FeedTools(
             platform=CutOffPlatform(),  # type: ignore[arg-type]
             peers=self.peers,  # type: ignore[arg-type]
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -15,8 +15,14 @@
 
 from fielddrift_core.loading import LoadingEngines
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours
-from fielddrift_core.readers import Reading, old_seconds, read_seconds, remote_source, source
-from fielddrift_core.relays import CentreSize, Contact, RemoteNode, contacts
+from fielddrift_core.readers import (
+    ReadState,
+    read_interval_seconds,
+    remote_source,
+    source,
+    stale_seconds,
+)
+from fielddrift_core.relays import Contact, DataCentreSize, RemoteNode, contacts
 from fielddrift_core.workload import Burden, Workload
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
 from fielddrift_node.serving.views import Views
@@ -44,38 +50,38 @@
     def __init__(self, name: str, centre: str) -> None:
         self.me = Neighbour(name, 1, centre, f"{name}:1", f"{name}:2", f"{name}:3", 40.0)
         self.neighbours = Neighbours(me=self.me)
-        self.neighbours.report(serving=True, load=1.0)
+        self.neighbours.update_self(serving=True, load=1.0)
         self.read_at = float("-inf")
         self.next_read = 0.0
 
     def source(self, now: float) -> str:
         """Return whom this node relies on, empty for the platform."""
         view = self.neighbours
-        near = view.readings(now)
+        near = view.read_states(now)
         active = view.active(now)
         found = source(self.me.name, "platform", near, active=active, bound=_BOUND).name
-        if found or now - self.read_at > old_seconds(_BOUND):
+        if found or now - self.read_at > stale_seconds(_BOUND):
             return found
-        return remote_source(self.me.name, view.remote_readings(now), bound=_BOUND).name
+        return remote_source(self.me.name, view.remote_read_states(now), bound=_BOUND).name
 
     def read(self, now: float, sent: Sent) -> None:
         """Take rows from whoever this node relies on."""
         found = self.source(now)
         if found:
-            remote = self.neighbours.remote_readings(now).get(found)
+            remote = self.neighbours.remote_read_states(now).get(found)
             if remote is not None:
                 self.read_at = max(self.read_at, now - remote.age)
         elif now >= self.next_read:
-            self.read_at, self.next_read = now, now + read_seconds(_BOUND)
+            self.read_at, self.next_read = now, now + read_interval_seconds(_BOUND)
             sent.readers[self.me.name] += 1
 
     def heartbeat(self, node: Neighbour, now: float) -> Heartbeat:
         """Return what this node tells `node`."""
         view = self.neighbours
-        period = view.period(view.standing(node, now), now)
+        period = view.period(view.relation(node, now), now)
         return Heartbeat(
             self.me, True, False, 1, {}, {},
-            reading=Reading(age=now - self.read_at),
+            reading=ReadState(age=now - self.read_at),
             period=period,
             active=view.is_active(now),
         )  # fmt: skip
@@ -89,7 +95,7 @@
         self.nodes = {name: Node(name, centre) for name, centre in names}
         for node in self.nodes.values():
             for other in self.nodes.values():
-                node.neighbours.introduce(other.me)
+                node.neighbours.add(other.me)
         self.ended: set[str] = set()
         self.now = 0.0
 
@@ -99,7 +105,7 @@
         while self.now < until:
             for name, node in self.nodes.items():
                 if name not in self.ended:
-                    node.neighbours.report(serving=True, load=1.0)
+                    node.neighbours.update_self(serving=True, load=1.0)
                     node.read(self.now, sent)
                     for other in node.neighbours.due(self.now):
                         self._tell(node, other, sent)
@@ -112,19 +118,19 @@
             return
         heartbeat = node.heartbeat(other, self.now)
         receiver = self.nodes[other.name].neighbours
-        receiver.hear(heartbeat, self.now)
+        receiver.receive(heartbeat, self.now)
         if other.data_centre != node.me.data_centre:
             sent.far += 1
-            for near in receiver.near(self.now):
+            for near in receiver.nearby(self.now):
                 if near.name not in self.ended:
-                    self.nodes[near.name].neighbours.hear(heartbeat, self.now)
+                    self.nodes[near.name].neighbours.receive(heartbeat, self.now)
 
     def oldest(self) -> float:
         """Return the age of what the oldest reader that others rely on has."""
         ages = []
         for name, node in self.nodes.items():
             if name not in self.ended:
-                near = node.neighbours.readings(self.now)
+                near = node.neighbours.read_states(self.now)
                 active = node.neighbours.active(self.now)
                 found = source(name, "platform", near, active=active, bound=_BOUND).name
                 at = self.nodes[found].read_at if found else node.read_at
@@ -146,7 +152,7 @@
             with self.subTest(size=size):
                 self.assertLessEqual(far / 2.0, 20 * 10)
                 self.assertEqual(readers, 1)
-                self.assertLessEqual(readings / 2.0, 1.2 / read_seconds(_BOUND))
+                self.assertLessEqual(readings / 2.0, 1.2 / read_interval_seconds(_BOUND))
 
     def test_where_the_reader_ends_another_one_reads_before_half_of_the_time_is_over(self) -> None:
         network = Network(20)
@@ -174,7 +180,7 @@
         node = network.nodes["n000"].neighbours
         active = len(node.active(network.now))
         for centre in ("dc1", "dc2", "dc3", "dc4"):
-            node.sized(centre, CentreSize(active=4, alive=12))
+            node.set_size(centre, DataCentreSize(active=4, alive=12))
         self.assertEqual(node.sharing(network.now), 2 * (active + 16))
 
 
@@ -186,7 +192,7 @@
         self.assertEqual(contacts(1, self.HEARD), [Contact("b2", True), Contact("b1", True)])
 
     def test_where_nobody_is_heard_some_are_greeted_in_turn(self) -> None:
-        silent = [RemoteNode(f"b{n}", 1.0, False, greeted=n % 2) for n in range(9)]
+        silent = [RemoteNode(f"b{n}", 1.0, False, unanswered=n % 2) for n in range(9)]
         found = contacts(0, {"b": silent})
         self.assertEqual([contact.name for contact in found], ["b0", "b2", "b4"])
 
@@ -197,7 +203,7 @@
     def test_no_two_readers_rely_on_each_other(self, ages: dict[str, float]) -> None:
         relies = {}
         for me in ages:
-            others = {name: Reading(age=age) for name, age in ages.items() if name != me}
+            others = {name: ReadState(age=age) for name, age in ages.items() if name != me}
             relies[me] = remote_source(me, others, bound=_BOUND).name
         for name, other in relies.items():
             if other:
@@ -207,7 +213,7 @@
     def test_an_old_reader_is_not_relied_on_and_any_fresh_one_is_by_who_is_turned_away(
         self,
     ) -> None:
-        old = {"a": Reading(age=1.0), "b": Reading(age=1.1)}
+        old = {"a": ReadState(age=1.0), "b": ReadState(age=1.1)}
         self.assertEqual(remote_source("me", old, bound=_BOUND).name, "")
         self.assertEqual(remote_source("me", old, bound=2 * _BOUND, failing=True).name, "a")
 
@@ -222,7 +228,7 @@
     def _translator(self, name: str, centre: str) -> tuple[Views, Neighbours, HeartbeatTranslator]:
         me = Neighbour(name, 1, centre, f"{name}:1", f"{name}:2", f"{name}:3")
         views, neighbours = Views(), Neighbours(me=me)
-        neighbours.report(serving=True, load=0.0)
+        neighbours.update_self(serving=True, load=0.0)
         return views, neighbours, HeartbeatTranslator(views=views, neighbours=neighbours)
 
     async def _exchange(self) -> None:
@@ -231,16 +237,16 @@
         for number in (1, 2):
             own, neighbours, near = self._translator(f"n{number}", "a")
             other = Neighbour(f"n{3 - number}", 1, "a", "x:1", "x:2", "x:3")
-            neighbours.hear(Heartbeat(other, True, False, 1, {}, {}), now)
-            neighbours.hear(Heartbeat(far._neighbours.me, True, False, 1, {}, {}), now)
+            neighbours.receive(Heartbeat(other, True, False, 1, {}, {}), now)
+            neighbours.receive(Heartbeat(far._neighbours.me, True, False, 1, {}, {}), now)
             own.workload.begin("e", f"r{number}", 10, 100)
             own.workload.told(other.name, {"e": Burden(1, 10, 100)}, now)
             own.loading.told("engine", now + 1.0)
             own.loading.told("other", now + 1.0, remote=True)
-            standing = neighbours.standing(far._neighbours.me, now)
+            standing = neighbours.relation(far._neighbours.me, now)
             heartbeat = near.heartbeat(standing, leaving=False)
             self.assertEqual(set(heartbeat.loading), {"engine"})
-            far._neighbours.hear(heartbeat._replace(ready=True), now)
+            far._neighbours.receive(heartbeat._replace(ready=True), now)
             far.heard(heartbeat)
             self.assertEqual(views.workload.at("e", now), Burden(2, 20, 200))
         self.assertEqual(far._neighbours.sharing(now), 3)
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -9,7 +9,7 @@
 
 import msgspec
 from fielddrift_core.neighbours import Heartbeat, Neighbour
-from fielddrift_core.readers import Reading
+from fielddrift_core.readers import ReadState
 from fielddrift_core.target_registry import Instance
 from fielddrift_node.serving.ports import OutOfReach
 from fielddrift_node.serving.sharing import Peers, TargetCopy
@@ -17,7 +17,7 @@
 
 
 class FormerReading(NamedTuple):
-    """`Reading` as the release before has it."""
+    """`ReadState` as the release before has it."""
 
     operators: int = 0
     targets: int = 0
@@ -59,7 +59,7 @@
     """
 
     def test_a_former_node_understands_a_heartbeat(self) -> None:
-        told = Heartbeat(_ME, True, False, 7, {"m": 2}, {}, reading=Reading(5, 6, 7, 0.1))
+        told = Heartbeat(_ME, True, False, 7, {"m": 2}, {}, reading=ReadState(5, 6, 7, 0.1))
         former = _former_heartbeat()
         heard = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=former)
         self.assertEqual(heard.node, _ME)
@@ -80,7 +80,7 @@
         former = _former_heartbeat()
         told = former(_ME, True, False, 7, {"m": 2}, {}, reading=FormerReading(5, 6, 7, 0.1))
         heard = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=Heartbeat)
-        self.assertEqual(heard.reading, Reading(5, 6, 7, 0.1))
+        self.assertEqual(heard.reading, ReadState(5, 6, 7, 0.1))
         copied = FormerTargetCopy((Instance("x", "s", "x:1", "a"),), (), 3, 4)
         copy = msgspec.msgpack.decode(msgspec.msgpack.encode(copied), type=TargetCopy)
         self.assertEqual(copy.row, 3)
--- a/tests/test_target_leaving.py
+++ b/tests/test_target_leaving.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from fielddrift_core.neighbours import Neighbour, Neighbours, Standing
+from fielddrift_core.neighbours import Neighbour, Neighbours, Relation
 from fielddrift_core.target_registry import Instance, TargetRegistry
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
 from fielddrift_node.serving.views import Views
@@ -70,7 +70,7 @@
             for name, views in (("n1", teller), ("n2", hearer))
         ]
         for _ in range(20):
-            heartbeat = translators[0].heartbeat(Standing(True, True, True), leaving=False)
+            heartbeat = translators[0].heartbeat(Relation(True, True, True), leaving=False)
             self.assertLessEqual(len(heartbeat.left), 16)
             translators[1].heard(heartbeat)
         self.assertEqual(hearer.registry.leaving(), names)
--- a/tests/test_told_beliefs.py
+++ b/tests/test_told_beliefs.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Standing
+from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation
 from fielddrift_core.workload import Lateness
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
 from fielddrift_node.serving.views import Views
@@ -16,7 +16,7 @@
 _HEARTBEAT_SECONDS = 0.15
 _TRAVEL_SECONDS = 0.03
 """From one node's putting a heartbeat together to another's taking it: a busy event loop's lag."""
-_NEAR = Standing(near=True, mine=True, theirs=True)
+_NEAR = Relation(near=True, self_active=True, peer_active=True)
 
 
 class ToldNode:
