--- a/packages/node/src/fielddrift_node/serving/crash_rows.py
+++ b/packages/node/src/fielddrift_node/serving/crash_rows.py
@@ -1,7 +1,7 @@
-"""Keep in the platform's table which requests are held back, beyond the life of every node.
+"""Persist in the platform's table which requests are held back, to survive a restart of all nodes.
 
-A row a request, written by the first node for all; each node reads them once at its start.
-Times are those of the platform's steady clock.
+Each row holds the crashes of one request. The first node writes the rows for all nodes; every node
+reads them once when it starts. Times in the rows are on the platform's steady clock.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from fielddrift_core.crashes import Crash
 from fielddrift_core.rollout import StoreClock
 
-from .feeds import Rests
+from .feeds import Backoff
 from .ports import OutOfReach, Platform, RowWrite, SavedRow
 from .views import Views
 
 __all__ = ["CrashRows"]
 
 TABLE = "crashes"
-_LOOK_SECONDS = 0.25
-"""How soon what is held back is saved: a loss of power soon after may still forget it."""
-_CLOCK_SECONDS = 60.0
-"""Age up to which a reading of the platform's clock is counted on from."""
-_MOST_WRITES = 40
-"""Rows of one call: the platform takes 100 entries a call."""
-_LONGEST_REST = 6.0
-"""Rests grow to this in an outage of the store: nothing waits for these rows."""
+_POLL_SECONDS = 0.25
+"""Polling interval for changes to save. A power loss within this time loses the change."""
+_MAX_CLOCK_AGE_SECONDS = 60.0
+"""Maximum age of a reading of the platform's clock from which the current time is extrapolated."""
+_MAX_WRITE_COUNT = 40
+"""Rows per call; the platform accepts 100 entries per call."""
+_MAX_BACKOFF_SECONDS = 6.0
+"""Maximum backoff in an outage of the store. Nothing waits for these rows."""
 
 _log = structlog.get_logger()
 
@@ -48,7 +48,7 @@
 
 
 class CrashRows:
-    """Read at the start which requests are held back, and save it where this node is `first`."""
+    """Load the requests that are held back, and save changes while this node is `first`."""
 
     def __init__(
         self, *, platform: Platform, views: Views, first: Callable[[], bool], rng: random.Random
@@ -57,55 +57,56 @@
         self._history = views.crashes
         self._first = first
         self._saved: dict[str, int] = {}
-        """How many crashes each row has, by request."""
+        """Number of crashes in each row, by request."""
         self._clock: StoreClock | None = None
-        self._current = False
-        """Whether the rows are known as this node left them: no other has written since."""
-        self._went_back = False
-        self._rests = Rests(what="rows of crashes", rng=rng)
+        self._saved_valid = False
+        """Whether `_saved` matches the rows, which is so while no other node writes them."""
+        self._store_restored = False
+        self._backoff = Backoff(what="rows of crashes", rng=rng)
 
-    def again(self) -> None:
-        """Take that the store went back: what was saved since its copy must be written again."""
-        self._went_back = True
+    def mark_store_restored(self) -> None:
+        """Handle a store restored from a backup: rows written since that backup must be saved
+        again."""
+        self._store_restored = True
 
     async def run(self) -> None:
-        """Read the rows, then save what changes, until cancelled."""
-        await self._retried(self._read)
+        """Load the rows, then save changes, until cancelled."""
+        await self._retry(self._read)
         while True:
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
             if not self._first():
-                self._current = self._went_back = False
-            elif self._went_back:
-                self._went_back = False
-                await self._retried(self._read)
+                self._saved_valid = self._store_restored = False
+            elif self._store_restored:
+                self._store_restored = False
+                await self._retry(self._read)
             elif self._changes():
-                await self._retried(self._save)
+                await self._retry(self._save)
 
-    async def _retried(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    async def _retry(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
         while True:
             try:
                 await work()
-                self._rests.worked()
+                self._backoff.succeeded()
                 return
             except OutOfReach as error:
-                await self._rests.failed(error, longest=_LONGEST_REST)
+                await self._backoff.failed(error, max_seconds=_MAX_BACKOFF_SECONDS)
 
     def _changes(self) -> list[str]:
-        """Return the requests whose rows are not as they should be, those to remove last."""
+        """Return the requests whose rows are out of date; rows to remove come last."""
         held = self._history.suspects
-        late = [n for n in held if self._saved.get(n) != len(self._history.crashes_of(n))]
-        return [*late, *(name for name in self._saved if name not in held)]
+        outdated = [n for n in held if self._saved.get(n) != len(self._history.crashes_of(n))]
+        return [*outdated, *(name for name in self._saved if name not in held)]
 
     async def _save(self) -> None:
-        if not self._current or self._clock_age() > _CLOCK_SECONDS:
-            # Another node may have written as the first one before.
+        if not self._saved_valid or self._clock_age() > _MAX_CLOCK_AGE_SECONDS:
+            # Another node may have been the first one in the meantime and written rows.
             await self._read()
-        changes = self._changes()[:_MOST_WRITES]
+        changes = self._changes()[:_MAX_WRITE_COUNT]
         if not changes or self._clock is None:
             return
         held = self._history.suspects
         crashes = {name: self._history.crashes_of(name) if name in held else () for name in changes}
-        writes = [RowWrite(name, self._encoded(crashes[name])) for name in changes]
+        writes = [RowWrite(name, self._encode(crashes[name])) for name in changes]
         sent = asyncio.get_running_loop().time()
         outcome = await self._platform.write(TABLE, writes)
         self._clock = StoreClock(outcome.clock, sent, asyncio.get_running_loop().time())
@@ -118,8 +119,8 @@
         saved = [name for name in changes if name not in removed]
         _log.info("crashes saved", saved=saved, removed=removed)
 
-    def _encoded(self, crashes: Sequence[Crash]) -> bytes | None:
-        """Return a row's value, None for a row that goes."""
+    def _encode(self, crashes: Sequence[Crash]) -> bytes | None:
+        """Return the encoded row, None if the row is to be removed."""
         if not crashes:
             return None
         clock = self._clock
@@ -138,16 +139,16 @@
     async def _read(self) -> None:
         loop = asyncio.get_running_loop()
         sent = loop.time()
-        rows, moment = await self._platform.rows(TABLE)
-        self._clock = clock = StoreClock(moment, sent, loop.time())
+        rows, platform_time = await self._platform.rows(TABLE)
+        self._clock = clock = StoreClock(platform_time, sent, loop.time())
         self._saved = {}
         for row in rows:
-            self._take(row, clock)
-        self._current = True
+            self._load_row(row, clock)
+        self._saved_valid = True
         if rows:
             _log.info("crashes read", requests=sorted(self._saved))
 
-    def _take(self, row: SavedRow, clock: StoreClock) -> None:
+    def _load_row(self, row: SavedRow, clock: StoreClock) -> None:
         try:
             crashes = msgspec.json.decode(row.value, type=_CrashRow)["crashes"]
         except msgspec.DecodeError as error:
--- a/packages/node/src/fielddrift_node/serving/feeds.py
+++ b/packages/node/src/fielddrift_node/serving/feeds.py
@@ -1,8 +1,8 @@
-"""What the feeds of the platform's rows share: their tools, their rests, and whom they rely on.
+"""Common parts of the feeds that follow the platform's rows: tools, backoff and choice of source.
 
-The first reader has rows from the platform, the readers of other data centres from it,
-the other nodes from the reader of their own; who reads is decided by
-`fielddrift_core.readers` at each turn.
+One node reads the rows from the platform. The readers of the other data centres copy them from that
+node, and all other nodes copy them from the reader of their own data centre.
+`fielddrift_core.readers` chooses the readers, once per turn.
 """
 
 from __future__ import annotations
@@ -28,91 +28,91 @@
 from .sharing import Peers
 from .views import Views
 
-__all__ = ["Feed", "FeedTools", "Rests"]
+__all__ = ["Backoff", "Feed", "FeedTools"]
 
-_LISTEN_SECONDS = 0.3
-"""How soon a node that relies on a reader looks whether it is still there; news in the
-reader's heartbeats wakes it at once."""
-_STANDBY_LISTEN_SECONDS = 0.6
-"""The same for a node that stands by: it bears an older reader than active nodes do."""
-_FIRST_REST = 0.15
-_LONGEST_REST = 1.0
-_OTHERS_LONGEST_REST = 6.0
-"""The same for a node that is no relay: in an outage of the store the relays notice its return,
-and the others need not ask as well.  Their heartbeats end the rest."""
+_READER_CHECK_SECONDS = 0.3
+"""Interval at which a node checks that its reader is still alive. News in the reader's heartbeats
+ends the wait at once."""
+_STANDBY_READER_CHECK_SECONDS = 0.6
+"""The same for a standby node, which tolerates an older reader than active nodes do."""
+_BACKOFF_BASE_SECONDS = 0.15
+_MAX_BACKOFF_SECONDS = 1.0
+_MAX_NON_RELAY_BACKOFF_SECONDS = 6.0
+"""The same for a node that is not a relay. In an outage of the store the relays detect its return,
+so the other nodes need not poll as often. Heartbeats of the relays end their wait."""
 
 _log = structlog.get_logger()
 
 
-class Rests:
-    """Rest longer after each failure, with jitter; log the loss and the return."""
+class Backoff:
+    """Exponential backoff with jitter. Logs the loss of a dependency and its return."""
 
     def __init__(self, *, what: str, rng: random.Random) -> None:
         self._what = what
         self._rng = rng
         self._failures = 0
-        self._news = asyncio.Event()
+        self._interrupted = asyncio.Event()
 
     @property
     def failing(self) -> bool:
         """Return whether the last call failed."""
         return self._failures > 0
 
-    def worked(self) -> None:
-        """Note a call that worked."""
+    def succeeded(self) -> None:
+        """Record a successful call, which resets the backoff."""
         if self._failures:
             _log.info("dependency regained", what=self._what, failures=self._failures)
         self._failures = 0
 
-    def wake(self) -> None:
-        """End the rest: another node has what the call should have brought."""
-        self._news.set()
+    def interrupt(self) -> None:
+        """End the wait early because another node has the data that the failed call was for."""
+        self._interrupted.set()
 
-    async def failed(self, error: Exception, *, longest: float = _LONGEST_REST) -> None:
-        """Note a call that failed, and rest; `longest` is what a rest grows to, in seconds."""
+    async def failed(self, error: Exception, *, max_seconds: float = _MAX_BACKOFF_SECONDS) -> None:
+        """Record a failed call and wait up to `max_seconds` before the next one."""
         if not self._failures:
             _log.warning("dependency lost", what=self._what, error=str(error))
         self._failures += 1
-        span = min(longest, _FIRST_REST * 2 ** min(self._failures, 6))
-        self._news.clear()
+        delay = min(max_seconds, _BACKOFF_BASE_SECONDS * 2 ** min(self._failures, 6))
+        self._interrupted.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._rng.uniform(span / 2, span)):
-                await self._news.wait()
+            async with asyncio.timeout(self._rng.uniform(delay / 2, delay)):
+                await self._interrupted.wait()
 
 
 class FeedTools(NamedTuple):
-    """What both feeds work with."""
+    """Dependencies that both feeds share."""
 
     platform: Platform
     peers: Peers
     neighbours: Neighbours
     views: Views
     rng: random.Random
-    bound: float = 2.0
-    """Seconds within which a node must know what operators and targets wrote."""
+    max_staleness_seconds: float = 2.0
+    """Seconds within which a node must learn of changes that operators and targets wrote."""
 
 
 class Feed:
-    """What both feeds have: where rows come from, and whom a change concerns."""
+    """Base of the feeds: chooses the source of the rows, and reports changes."""
 
     def __init__(
         self,
         *,
         what: str,
         tools: FeedTools,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._platform = tools.platform
         self._peers = tools.peers
         self._neighbours = tools.neighbours
         self._views = tools.views
-        self._bound = tools.bound
-        self._changed = changed
+        self._max_staleness_seconds = tools.max_staleness_seconds
+        self._on_change = on_change
         self._after: int | None = None
-        self._rests = Rests(what=what, rng=tools.rng)
+        self._backoff = Backoff(what=what, rng=tools.rng)
 
     def reader(self) -> Neighbour | None:
-        """Return the node that reads for this one, None when it reads for itself."""
+        """Return the node to copy the rows from, None if this node reads from the platform."""
         now = asyncio.get_running_loop().time()
         neighbours = self._neighbours
         chosen = source(
@@ -120,51 +120,52 @@
             READER_KEY,
             neighbours.read_states(now),
             active=neighbours.active(now),
-            failing=self._rests.failing,
+            failing=self._backoff.failing,
             capacity=neighbours.capacity,
-            bound=self._bound,
+            bound=self._max_staleness_seconds,
         )
         if not chosen.name:
             chosen = self._remote_source(now)
         return neighbours.node(chosen.name) if chosen.name else None
 
     def _remote_source(self, now: float) -> Source:
-        """Return who in another data centre reads for this node, which reads for its own."""
+        """Return the source in another data centre, for the reader of this data centre."""
         neighbours = self._neighbours
-        oldest = stale_seconds(self._bound)
-        if self._views.reading(now).age > oldest and not self._rests.failing:
-            # What came from the other reader is not taken in: those who rely on this node wait.
+        max_age = stale_seconds(self._max_staleness_seconds)
+        if self._views.reading(now).age > max_age and not self._backoff.failing:
+            # The remote copy is overdue. This node reads the platform itself, as other nodes copy
+            # from it.
             return Source("")
         return remote_source(
             neighbours.me.name,
             neighbours.remote_read_states(now),
-            bound=self._bound,
-            failing=self._rests.failing,
+            bound=self._max_staleness_seconds,
+            failing=self._backoff.failing,
             capacity=neighbours.capacity,
         )
 
-    def _listen_seconds(self) -> float:
-        """Return how soon to look again whether the reader is still there."""
+    def _reader_check_seconds(self) -> float:
+        """Return the interval at which to check that the reader is still alive."""
         active = self._neighbours.is_active(asyncio.get_running_loop().time())
-        return _LISTEN_SECONDS if active else _STANDBY_LISTEN_SECONDS
+        return _READER_CHECK_SECONDS if active else _STANDBY_READER_CHECK_SECONDS
 
     def returned(self) -> None:
-        """Look whether another node reads again, after calls of this one failed."""
-        if self._rests.failing and self.reader() is not None:
-            self._rests.wake()
+        """End the backoff if another node can read again after calls of this node failed."""
+        if self._backoff.failing and self.reader() is not None:
+            self._backoff.interrupt()
 
-    async def _rest(self, error: Exception) -> None:
-        """Rest after a call that failed."""
+    async def _back_off(self, error: Exception) -> None:
+        """Back off after a failed call."""
         relay = self._neighbours.is_relay(asyncio.get_running_loop().time())
-        longest = _LONGEST_REST if relay else _OTHERS_LONGEST_REST
-        await self._rests.failed(error, longest=longest)
+        max_seconds = _MAX_BACKOFF_SECONDS if relay else _MAX_NON_RELAY_BACKOFF_SECONDS
+        await self._backoff.failed(error, max_seconds=max_seconds)
 
-    def _reading(self, chosen: Neighbour, now: float) -> ReadState:
-        """Return how far the node has read that this one relies on."""
-        near = self.is_near(chosen)
-        readings = self._neighbours.read_states if near else self._neighbours.remote_read_states
+    def _reading_of(self, chosen: Neighbour, now: float) -> ReadState:
+        """Return how far `chosen`, the node that this one copies from, has read."""
+        is_local = self.is_local(chosen)
+        readings = self._neighbours.read_states if is_local else self._neighbours.remote_read_states
         return readings(now).get(chosen.name, ReadState())
 
-    def is_near(self, node: Neighbour) -> bool:
+    def is_local(self, node: Neighbour) -> bool:
         """Return whether `node` is in this node's data centre."""
         return node.data_centre == self._neighbours.me.data_centre
--- a/packages/node/src/fielddrift_node/serving/gossip.py
+++ b/packages/node/src/fielddrift_node/serving/gossip.py
@@ -165,13 +165,13 @@
         try:
             update = self._crash_decoder.decode(data)
         except msgspec.DecodeError as error:
-            _log.warning("crash update cannot be decoded", sender=str(addr), error=str(error))
+            _log.warning("update of crashes cannot be decoded", sender=str(addr), error=str(error))
             return
         self._crashes.heard(update)
 
     def error_received(self, exc: Exception) -> None:
         # No process listens at that address; the missing heartbeats from the node show the same.
-        _log.debug("heartbeat rejected by the receiving host", error=str(exc))
+        _log.debug("heartbeat refused by the receiving host", error=str(exc))
 
     def _forward(self, heartbeat: Heartbeat, data: bytes, now: float) -> None:
         """Forward a heartbeat from another data centre to the nodes of this data centre."""
--- a/packages/node/src/fielddrift_node/serving/membership.py
+++ b/packages/node/src/fielddrift_node/serving/membership.py
@@ -62,12 +62,12 @@
         self._rng = rng
         self._silent_rows = SilentRows()
         self._joined_at = float("inf")
-        self._went_back = asyncio.Event()
+        self._store_restored = asyncio.Event()
 
-    def again(self) -> None:
+    def mark_store_restored(self) -> None:
         """Take that the store went back: the first node nearby mends the list at once."""
         if self._neighbours.is_local_coordinator(asyncio.get_running_loop().time()):
-            self._went_back.set()
+            self._store_restored.set()
 
     @property
     def joined_at(self) -> float:
@@ -81,8 +81,8 @@
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._rest()):
-                    await self._went_back.wait()
-            self._went_back.clear()
+                    await self._store_restored.wait()
+            self._store_restored.clear()
             try:
                 await self._look()
             except OutOfReach as error:
--- a/packages/node/src/fielddrift_node/serving/named_rows.py
+++ b/packages/node/src/fielddrift_node/serving/named_rows.py
@@ -1,8 +1,7 @@
-"""Keep in the platform's table when weights were named, beyond the life of every node.
+"""Persist in the platform's table when weights were named, to survive a restart of all nodes.
 
-A row a model, timed by the platform's steady clock.  Every error of a reading
-makes a naming earlier, so that no node sends to older weights for longer than
-it may.
+There is one row per model, with times on the platform's steady clock. Every clock error makes a
+recorded time earlier, so that no node uses older weights for longer than allowed.
 """
 
 from __future__ import annotations
@@ -17,27 +16,28 @@
 from fielddrift_core.eras import version_of
 from fielddrift_core.rollout import StoreClock, times_to_save
 
-from .feeds import Rests
+from .feeds import Backoff
 from .ports import OutOfReach, Platform, RowWrite, SavedRow
 from .views import Views
 
 __all__ = ["NamedRows"]
 
 TABLE = "namings"
-_CLOCK_SECONDS = 60.0
-"""Age up to which a reading of the platform's clock is counted on from: two hosts' steady
-clocks drift apart by some 50 ppm, 3 ms in this time and 4 s in a day."""
-_UNSAVED_SECONDS = 2.5
-"""Least age of a version that a node finds at its start and nobody saved: it was named while
-no node lived, or just before they all ended.  After a loss of power they are back in time."""
-_MOST_TRIES = 3
-"""Writes of one row in a row that another node's write may come before."""
+_MAX_CLOCK_AGE_SECONDS = 60.0
+"""Maximum age of a reading of the platform's clock from which the current time is extrapolated. The
+steady clocks of two hosts drift apart by about 50 ppm: 3 ms in this time, 4 s in a day."""
+_MIN_UNSAVED_AGE_SECONDS = 2.5
+"""Minimum age assumed for a version that a node finds at its start without a saved time. It was
+named while no node ran or just before all nodes ended. After a power loss the nodes restart within
+this time."""
+_MAX_WRITE_ATTEMPTS = 3
+"""Attempts to write a row when writes of other nodes conflict."""
 
 _log = structlog.get_logger()
 
 
 class _NamedRow(TypedDict):
-    """When versions were named, on the platform's clock in seconds; fields may be added."""
+    """When each version was named, in seconds on the platform's clock; fields may be added."""
 
     times: dict[int, float]
 
@@ -51,96 +51,97 @@
 
 
 class NamedRows:
-    """Read at the start when weights were named, and save it once a version.
+    """Load the times at which weights were named, and save the time of each new version once.
 
-    `reads` tells whether this node itself reads what operators write.
+    `is_reader` returns whether this node itself reads the operators' rows from the platform.
     """
 
     def __init__(
-        self, *, platform: Platform, views: Views, reads: Callable[[], bool], rng: random.Random
+        self, *, platform: Platform, views: Views, is_reader: Callable[[], bool], rng: random.Random
     ) -> None:
         self._platform = platform
         self._views = views
-        self._reads = reads
+        self._is_reader = is_reader
         self._saved: dict[str, _Saved] = {}
         self._clock: StoreClock | None = None
-        self._news = asyncio.Event()
-        self._rests = Rests(what="rows of named weights", rng=rng)
+        self._rows_read = asyncio.Event()
+        self._backoff = Backoff(what="rows of named weights", rng=rng)
 
-    def look(self) -> None:
-        """Take that the operators' rows were read, and may have changed."""
+    def schedule_save(self) -> None:
+        """Schedule a save after the operators' rows were read and may have changed."""
         if self._views.catalog is not None:
-            self._news.set()
+            self._rows_read.set()
 
-    def again(self) -> None:
-        """Take that the store went back: what was saved since its copy must be written again."""
+    def mark_store_restored(self) -> None:
+        """Handle a store restored from a backup: rows written since that backup must be saved
+        again."""
         self._clock = None
         self._saved = {}
-        self.look()
+        self.schedule_save()
 
     async def run(self) -> None:
-        """Read the rows once, then save what is new, until cancelled."""
-        await self.restore()
+        """Load the rows once, then save new times, until cancelled."""
+        await self.load()
         while True:
-            await self._news.wait()
-            self._news.clear()
+            await self._rows_read.wait()
+            self._rows_read.clear()
             try:
-                await self._save_own()
-                self._rests.worked()
+                await self._save_read_versions()
+                self._backoff.succeeded()
             except OutOfReach as error:
-                await self._rests.failed(error)
-                self._news.set()
+                await self._backoff.failed(error)
+                self._rows_read.set()
 
-    async def restore(self) -> None:
-        """Read the rows once, if weights were named before this node began.
+    async def load(self) -> None:
+        """Load the rows once, if weights were named before this node started.
 
-        The node serves meanwhile, and counts from its own reading.
+        Meanwhile the node serves requests, with the time of its own first reading.
         """
-        await self._news.wait()
+        await self._rows_read.wait()
         found = dict(self._views.named)
         while found and self._clock is None:
             try:
                 await self._read()
-                self._rests.worked()
+                self._backoff.succeeded()
             except OutOfReach as error:
-                await self._rests.failed(error)
-        self._age_unsaved(found)
+                await self._backoff.failed(error)
+        self._apply_minimum_age(found)
 
-    def _age_unsaved(self, found: Mapping[str, int]) -> None:
-        """Take versions that were found at the start, and that nobody saved, for older."""
+    def _apply_minimum_age(self, found: Mapping[str, int]) -> None:
+        """Assume a minimum age for versions that were found at the start without a saved time."""
         now = asyncio.get_running_loop().time()
         for model, version in found.items():
             if version not in self._saved.get(model, _ABSENT).times:
-                self._views.named_times.heard(model, version, now - _UNSAVED_SECONDS)
+                self._views.named_times.heard(model, version, now - _MIN_UNSAVED_AGE_SECONDS)
 
-    async def _save_own(self) -> None:
-        """Save at once what this node has from the platform itself.
+    async def _save_read_versions(self) -> None:
+        """Save at once the versions that this node read from the platform itself.
 
-        Nodes that begin anew before it is saved do not know how old a version is.
+        Nodes that restart before the save do not know how old a version is.
         """
-        if self._reads():
+        if self._is_reader():
             for model in self._views.named:
                 saved = self._saved.get(model, _ABSENT).times
                 if not self._views.named_times.newest(model).keys() <= saved.keys():
                     await self.save(model)
 
     async def save(self, model: str) -> None:
-        """Save when versions of `model` were named, unless that is done; raise `OutOfReach`."""
-        for _ in range(_MOST_TRIES):
+        """Save the times of the versions of `model` unless they are saved; raise `OutOfReach`."""
+        for _ in range(_MAX_WRITE_ATTEMPTS):
             clock = self._recent_clock() or await self._read()
             saved = self._saved.get(model, _ABSENT)
             own = self._views.named_times.newest(model)
             times = times_to_save(own, saved=saved.times, clock=clock)
             if times is None or await self._write(model, times, saved.version):
                 return
-            # Another node has written: its row tells what is missing now.
+            # Another node has written the row; read it again to see which times are missing.
             self._clock = None
-        _log.warning("namings not saved", model=model, tries=_MOST_TRIES)
+        _log.warning("namings not saved", model=model, tries=_MAX_WRITE_ATTEMPTS)
 
     def _recent_clock(self) -> StoreClock | None:
         now = asyncio.get_running_loop().time()
         clock = self._clock
-        return clock if clock is not None and now - clock.heard <= _CLOCK_SECONDS else None
+        return clock if clock is not None and now - clock.heard <= _MAX_CLOCK_AGE_SECONDS else None
 
     async def _write(self, model: str, times: dict[int, float], expect: int) -> bool:
         loop = asyncio.get_running_loop()
@@ -159,15 +160,15 @@
     async def _read(self) -> StoreClock:
         loop = asyncio.get_running_loop()
         sent = loop.time()
-        rows, moment = await self._platform.rows(TABLE)
-        self._clock = clock = StoreClock(moment, sent, loop.time())
-        # A row that is gone must be forgotten: a write that expects its version never succeeds.
+        rows, platform_time = await self._platform.rows(TABLE)
+        self._clock = clock = StoreClock(platform_time, sent, loop.time())
+        # Forget removed rows: a write that expects the version of a removed row never succeeds.
         self._saved = {}
         for row in rows:
-            self._take(row, clock)
+            self._load_row(row, clock)
         return clock
 
-    def _take(self, row: SavedRow, clock: StoreClock) -> None:
+    def _load_row(self, row: SavedRow, clock: StoreClock) -> None:
         try:
             times = msgspec.json.decode(row.value, type=_NamedRow)["times"]
         except msgspec.DecodeError as error:
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -136,10 +136,10 @@
         feed_tools = FeedTools(
             platform, peers, self._neighbours, self._views, rng, settings.bounds.staleness
         )
-        self._operators = OperatorFeed(tools=feed_tools, changed=self._operators_changed)
+        self._operators = OperatorFeed(tools=feed_tools, on_change=self._operators_changed)
         self._targets = TargetFeed(
             tools=feed_tools,
-            changed=lambda: self._gossip.schedule_update(Scope.ALL),
+            on_change=lambda: self._gossip.schedule_update(Scope.ALL),
             returned=self._operators.hurry,
         )
         self._store_tracker = StoreTracker(
@@ -153,7 +153,7 @@
         self._named_rows = NamedRows(
             platform=platform,
             views=self._views,
-            reads=lambda: self._operators.reader() is None,
+            is_reader=lambda: self._operators.reader() is None,
             rng=rng,
         )
         self._crash_rows = CrashRows(
@@ -357,9 +357,9 @@
         by = "platform" if self._platform.era == era else "neighbours"
         _log.warning("store went back", era=era, before=former, told_by=by)
         self._metrics.store_returns.inc()
-        self._membership.again()
-        self._named_rows.again()
-        self._crash_rows.again()
+        self._membership.mark_store_restored()
+        self._named_rows.mark_store_restored()
+        self._crash_rows.mark_store_restored()
 
     def _note_role(self, now: float) -> None:
         active = self._neighbours.is_active(now)
@@ -401,7 +401,7 @@
 
     def _operators_changed(self) -> None:
         self._report()
-        self._named_rows.look()
+        self._named_rows.schedule_save()
         self._store_tracker.look()
         self._gossip.schedule_update(Scope.ALL)
 
--- a/packages/node/src/fielddrift_node/serving/operator_feed.py
+++ b/packages/node/src/fielddrift_node/serving/operator_feed.py
@@ -53,9 +53,9 @@
         self,
         *,
         tools: FeedTools,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        super().__init__(what="operators' rows", tools=tools, changed=changed)
+        super().__init__(what="operators' rows", tools=tools, on_change=on_change)
         self._call: asyncio.Task[None] | None = None
         self._hurry = False
         self._waiting = False
@@ -83,7 +83,7 @@
         late = now - self._behind_since > _READER_SECONDS
         reader = self.reader()
         relied_on = reader is None or reader.name == heartbeat.node.name
-        if relied_on or late or self.is_near(heartbeat.node):
+        if relied_on or late or self.is_local(heartbeat.node):
             self._ahead[heartbeat.node.name] = heartbeat
             self._told.set()
 
@@ -121,26 +121,26 @@
             _log.info("history gone", what="operators' rows", after=self._after)
             self._after = None
         except (OutOfReach, msgspec.DecodeError) as error:
-            await self._rest(error)
+            await self._back_off(error)
 
     async def _turn(self) -> None:
         reader = self.reader()
         if reader is not None and not self._views.stale.is_set():
             self._rely_on(reader)
-            await asyncio.sleep(self._listen_seconds())
+            await asyncio.sleep(self._reader_check_seconds())
             return
         hurry, self._hurry = self._hurry, False
         loop = asyncio.get_running_loop()
         began = loop.time()
         # Whose own reading is old seems to hang: others rely on it once it has read.
         old = began - self._views.operators_at > _OLD_SECONDS
-        at_once = hurry or old or self._after is None or self._rests.failing
+        at_once = hurry or old or self._after is None or self._backoff.failing
         news = await self._ask(0.0 if at_once else OPERATORS_POLL_SECONDS)
         if news is None:
             # What it should have told stands there to be read, over a new connection.
             self._hurry = True
             return
-        self._rests.worked()
+        self._backoff.succeeded()
         self._after = news.version
         self._views.operators_row = max(self._views.operators_row, news.version)
         self._views.evacuations.read(news.evacuations, news.version, loop.time())
@@ -151,11 +151,11 @@
 
     def _rely_on(self, reader: Neighbour) -> None:
         """Take the age of what a reader in another data centre has, once this node has it too."""
-        if self.is_near(reader) or self._behind_since is not None:
+        if self.is_local(reader) or self._behind_since is not None:
             return
         now = asyncio.get_running_loop().time()
         # The age leaves out the wait that is due to a call for these rows.
-        read_at = now - self._reading(reader, now).age - OPERATORS_POLL_SECONDS
+        read_at = now - self._reading_of(reader, now).age - OPERATORS_POLL_SECONDS
         self._views.operators_at = max(self._views.operators_at, read_at)
 
     async def _ask(self, wait: float) -> OperatorNews | None:
@@ -262,4 +262,4 @@
             changed = True
         if changed:
             self._behind_since = None
-            self._changed()
+            self._on_change()
--- a/packages/node/src/fielddrift_node/serving/target_feed.py
+++ b/packages/node/src/fielddrift_node/serving/target_feed.py
@@ -41,10 +41,10 @@
         self,
         *,
         tools: FeedTools,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         returned: Callable[[], None],
     ) -> None:
-        super().__init__(what="target entries", tools=tools, changed=changed)
+        super().__init__(what="target entries", tools=tools, on_change=on_change)
         self._returned = returned
         self._copied: _CopyMark | None = None
         self._lost_at: float | None = None
@@ -82,7 +82,7 @@
             except OutOfReach as error:
                 self._lost_at = asyncio.get_running_loop().time()
                 self._give_up("nobody", away=True)
-                await self._rest(error)
+                await self._back_off(error)
                 continue
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
@@ -92,16 +92,16 @@
         """Bring the list up to date; return the seconds until the next turn."""
         chosen = self.reader()
         # After a pause it reads for itself first, and relies on others only if that fails.
-        relies = not self._views.stale.is_set() or self._rests.failing
+        relies = not self._views.stale.is_set() or self._backoff.failing
         if chosen is not None and relies and await self._rely_on(chosen):
-            return self._listen_seconds()
+            return self._reader_check_seconds()
         await self._read()
-        return read_interval_seconds(self._bound)
+        return read_interval_seconds(self._max_staleness_seconds)
 
     async def _rely_on(self, chosen: Neighbour) -> bool:
         """Follow what another node lists; return whether it could be asked."""
         now = asyncio.get_running_loop().time()
-        reading = self._reading(chosen, now)
+        reading = self._reading_of(chosen, now)
         if self._lost_at is not None and now - reading.age > self._lost_at:
             # The other's reading tells of the store's return as well as one of its own.
             self._views.registry.store_returned(now - reading.age)
@@ -113,7 +113,7 @@
         ):
             return False
         self._give_up(chosen.name)
-        if not self.is_near(chosen):
+        if not self.is_local(chosen):
             # Who relies on this node judges what it has by the age that it came with.
             self._views.targets_at = max(self._views.targets_at, now - reading.age)
         return True
@@ -166,7 +166,7 @@
             registry.store_returned(now)
             self._returned()
         self._lost_at = None
-        self._rests.worked()
+        self._backoff.succeeded()
         serial, before = registry.serial, Listing.of(registry, now)
         self._note_cold(news.entries, now)
         if news.whole:
@@ -185,7 +185,7 @@
         self._views.targets_at = now
         self._copied = None
         if registry.serial != serial:
-            self._changed()
+            self._on_change()
 
     def _note_cold(self, entries: Iterable[Instance], now: float) -> None:
         """Note which of `entries`, as far as they are new, tell of targets that are cold."""
--- a/tests/target_views.py
+++ b/tests/target_views.py
@@ -108,7 +108,7 @@
             views=self.views,
             rng=random.Random(boot),
         )
-        self.feed = TargetFeed(tools=tools, changed=lambda: None, returned=lambda: None)
+        self.feed = TargetFeed(tools=tools, on_change=lambda: None, returned=lambda: None)
         self.task: asyncio.Task[None] | None = None
 
     @property
--- a/tests/test_named_rows.py
+++ b/tests/test_named_rows.py
@@ -87,7 +87,7 @@
         self.rows = NamedRows(
             platform=table,  # type: ignore[arg-type]
             views=self.views,
-            reads=lambda: reads,
+            is_reader=lambda: reads,
             rng=random.Random(1),
         )
 
@@ -97,8 +97,8 @@
     def begins(self) -> asyncio.Task[None]:
         """Start reading, as a node does whose operators' rows were read."""
         self.views.take_catalog(_catalog())
-        self.rows.look()
-        return asyncio.ensure_future(self.rows.restore())
+        self.rows.schedule_save()
+        return asyncio.ensure_future(self.rows.load())
 
     def outdated(self, weights: int) -> float:
         return self.views.outdated_seconds("m", weights, _now())
@@ -145,7 +145,7 @@
         for node in (Node(self.table, reads=False), Node(self.table, reads=True)):
             node.hears(2)
             node.views.take_catalog(_catalog())
-            node.rows.look()
+            node.rows.schedule_save()
             running = asyncio.ensure_future(node.rows.run())
             for _ in range(20):
                 await asyncio.sleep(0)
@@ -169,12 +169,12 @@
         node.views.take_catalog(_catalog())
         running = asyncio.ensure_future(node.rows.run())
         # Nothing was named before its start: what is under way here is no restoring.
-        node.rows.look()
+        node.rows.schedule_save()
         for _ in range(5):
             await asyncio.sleep(0)
         self.table.down = True
         node.hears(2)
-        node.rows.look()
+        node.rows.schedule_save()
         async with asyncio.timeout(10.0):
             while not self.table.calls:
                 await asyncio.sleep(0.01)
--- a/tests/test_named_rows_drift.py
+++ b/tests/test_named_rows_drift.py
@@ -45,7 +45,7 @@
 
 def _rows(table: DriftingTable, views: Views) -> NamedRows:
     rng = random.Random(1)
-    return NamedRows(platform=table, views=views, reads=lambda: False, rng=rng)  # type: ignore[arg-type]
+    return NamedRows(platform=table, views=views, is_reader=lambda: False, rng=rng)  # type: ignore[arg-type]
 
 
 @mock.patch("fielddrift_node.serving.named_rows._log", mock.Mock())
--- a/tests/test_new_reader.py
+++ b/tests/test_new_reader.py
@@ -70,7 +70,7 @@
             views=views,
             rng=random.Random(1),
         )
-        feed = OperatorFeed(tools=tools, changed=lambda: None)
+        feed = OperatorFeed(tools=tools, on_change=lambda: None)
         # "reader" is a larger host, and so goes before this node.
         reader = _neighbour("reader")._replace(capacity=100.0)
         told = Heartbeat(reader, True, False, 0, {"m": 1}, {}, period=0.15)
--- a/tests/test_operator_feed.py
+++ b/tests/test_operator_feed.py
@@ -83,7 +83,7 @@
             views=self.views,
             rng=random.Random(1),
         )
-        self.feed = OperatorFeed(tools=tools, changed=lambda: None)
+        self.feed = OperatorFeed(tools=tools, on_change=lambda: None)
         self.peers.while_hung = lambda: self._tell("good", "hung")
         self.task = asyncio.ensure_future(self.feed.run())
         await asyncio.sleep(0)
@@ -202,7 +202,7 @@
             rng=random.Random(1),
         )
         self.views = tools.views
-        self.feed = OperatorFeed(tools=tools, changed=lambda: None)
+        self.feed = OperatorFeed(tools=tools, on_change=lambda: None)
         self.task = asyncio.ensure_future(self.feed.run())
         await self._turns(2)
 
@@ -266,7 +266,7 @@
             views=self.views,
             rng=random.Random(1),
         )
-        self.feed = OperatorFeed(tools=tools, changed=lambda: None)
+        self.feed = OperatorFeed(tools=tools, on_change=lambda: None)
 
     async def _told_for(self, seconds: float) -> None:
         task = asyncio.ensure_future(self.feed.run())
