--- a/bench/choice.py
+++ b/bench/choice.py
@@ -115,11 +115,13 @@
     for number, view in enumerate(views.store_index.views):
         kept = _PROMPT.shared if number < _KEPT_COPIES else ()
         view.listed(1, 0, [(salt, part.id, part.tokens) for part in kept])
-        views.lateness.came(view.traits.address, 0.001, now)
+        views.lateness.observe(view.traits.address, 0.001, now)
     for node in range(fleet.nodes):
         busy = rng.sample(names, min(_BUSY_ENGINES, len(names)))
-        views.workload.told(f"node-{node}", {name: Burden(1, 500, 900) for name in busy}, now)
-        views.links.told(f"node-{node}", {"10.9.0.0:1": 0.01}, now)
+        views.workload.update_node(
+            f"node-{node}", {name: Burden(1, 500, 900) for name in busy}, now
+        )
+        views.links.update_node(f"node-{node}", {"10.9.0.0:1": 0.01}, now)
     return views
 
 
--- a/bench/lab/switches.py
+++ b/bench/lab/switches.py
@@ -8,8 +8,8 @@
 from unittest import mock
 
 from fielddrift_core import placement, waiting
-from fielddrift_core.pace import Pace
-from fielddrift_core.waiting import Turnover
+from fielddrift_core.pace import EngineSlowdowns
+from fielddrift_core.waiting import MemoryTurnover
 from fielddrift_core.workload import Lateness
 from fielddrift_node.serving import placing
 
@@ -31,7 +31,7 @@
 @_switch("room")
 def _room() -> Sequence[Any]:
     """Send on whatever an engine's memory holds."""
-    return [mock.patch.object(Turnover, "room_part", lambda *_: float("inf"))]
+    return [mock.patch.object(MemoryTurnover, "send_limit", lambda *_: float("inf"))]
 
 
 @_switch("handover")
@@ -43,31 +43,31 @@
 @_switch("reserve")
 def _reserve() -> Sequence[Any]:
     """Keep no room for the most urgent."""
-    return [mock.patch.object(waiting, "_RESERVED_PART", 0.0)]
+    return [mock.patch.object(waiting, "_RESERVED_FRACTION", 0.0)]
 
 
 @_switch("turnover")
 def _turnover() -> Sequence[Any]:
     """Take no account of those who wait when a newcomer's answer is estimated."""
-    return [mock.patch.object(Turnover, "wait", lambda self, tokens, memory: 0.0)]
+    return [mock.patch.object(MemoryTurnover, "wait", lambda self, tokens, memory: 0.0)]
 
 
 @_switch("refusing")
 def _refusing() -> Sequence[Any]:
     """Take everyone, however late."""
-    return [mock.patch.object(placing, "come_back", lambda **_: None)]
+    return [mock.patch.object(placing, "refusal_delay", lambda **_: None)]
 
 
 @_switch("lateness")
 def _lateness() -> Sequence[Any]:
     """Take every store to be as quick as its link."""
-    return [mock.patch.object(Lateness, "of_each", lambda self, now: {})]
+    return [mock.patch.object(Lateness, "by_store", lambda self, now: {})]
 
 
 @_switch("pace")
 def _pace() -> Sequence[Any]:
     """Take every engine to be as quick as usual ones."""
-    return [mock.patch.object(Pace, "of", lambda self, service, engine: 1.0)]
+    return [mock.patch.object(EngineSlowdowns, "factor", lambda self, service, engine: 1.0)]
 
 
 @_switch("reading")
--- a/bench/world.py
+++ b/bench/world.py
@@ -16,7 +16,7 @@
 
 from fielddrift_core.admission import Admission
 from fielddrift_core.errors import Refusal
-from fielddrift_core.holding import should_keep
+from fielddrift_core.holding import should_export
 from fielddrift_core.model import Configuration, StoreHost, Target, TargetRole
 from fielddrift_core.names import rank
 from fielddrift_core.routing import (
@@ -289,10 +289,10 @@
             tokens=ask.tokens,
             ttft=choice.ttft,
             wait=choice.wait,
-            patience=self._shape.deadline,
-            room_rate=self._shape.prefill_rate * len(self._targets) / len(self._nodes),
+            ttft_limit=self._shape.deadline,
+            capacity_rate=self._shape.prefill_rate * len(self._targets) / len(self._nodes),
             now=self.now,
-            returning=returning,
+            is_retry=returning,
         )
 
     def _refuse(self, ask: Ask, refusal: Refusal, returns: int) -> None:
@@ -453,7 +453,7 @@
         store = self._placed(ask.prompt)
         kept = self._kept[store].get(ask.prompt, 0)
         size = (ask.tokens - kept) * self._shape.kv_bytes
-        worth = should_keep(rule=None, blocks=ask.tokens, kept=kept)
+        worth = should_export(rule=None, blocks=ask.tokens, kept=kept)
         if worth and store not in self._dead_stores:
             host = self._stores[store]
             if node.links.begin_export(host, size):
--- a/packages/core/src/fielddrift_core/candidates.py
+++ b/packages/core/src/fielddrift_core/candidates.py
@@ -12,17 +12,17 @@
 from collections.abc import Sequence
 from typing import Protocol, TypeVar
 
-__all__ = ["MOST_WEIGHED", "sample"]
+__all__ = ["MAX_CANDIDATES", "sample"]
 
-MOST_WEIGHED = 32
+MAX_CANDIDATES = 32
 """Engines that are weighed for a prompt at most: some 1 ms of a reference core, a quarter
 of what the rest of a request takes."""
-_NEAR_PART = 0.75
+_LOCAL_FRACTION = 0.75
 """Part of the sample for engines of the node's data centre, as far as there are so many:
 bytes to the others cost, and they are of use when the near ones are crowded."""
 
 
-class Placed(Protocol):
+class HasDataCentre(Protocol):
     """Something in a data centre."""
 
     @property
@@ -30,16 +30,16 @@
         """Return the name of the data centre."""
 
 
-_P = TypeVar("_P", bound=Placed)
+_P = TypeVar("_P", bound=HasDataCentre)
 
 
 def sample(
-    engines: Sequence[_P], *, data_centre: str, rng: random.Random, most: int = MOST_WEIGHED
+    engines: Sequence[_P], *, data_centre: str, rng: random.Random, max_count: int = MAX_CANDIDATES
 ) -> list[_P]:
     """Return up to `most` of `engines`, those in `data_centre` first; all where they are few."""
-    if len(engines) <= most:
+    if len(engines) <= max_count:
         return list(engines)
     near = [engine for engine in engines if engine.data_centre == data_centre]
     far = [engine for engine in engines if engine.data_centre != data_centre]
-    wanted_near = min(len(near), max(int(most * _NEAR_PART), most - len(far)))
-    return rng.sample(near, wanted_near) + rng.sample(far, min(len(far), most - wanted_near))
+    wanted_near = min(len(near), max(int(max_count * _LOCAL_FRACTION), max_count - len(far)))
+    return rng.sample(near, wanted_near) + rng.sample(far, min(len(far), max_count - wanted_near))
--- a/packages/core/src/fielddrift_core/linkqueue.py
+++ b/packages/core/src/fielddrift_core/linkqueue.py
@@ -12,16 +12,16 @@
 
 __all__ = ["LinkQueue"]
 
-_TOLD_SECONDS = 2.0
+_REPORT_TTL_SECONDS = 2.0
 """Age at which another node's word is forgotten: moves that wait longer aren't begun."""
 
 
-class _Moves(NamedTuple):
-    told_at: float
+class _ReportedTransfers(NamedTuple):
+    received_at: float
     until: float
 
     def left(self, now: float) -> float:
-        return max(0.0, self.until - now) if now - self.told_at <= _TOLD_SECONDS else 0.0
+        return max(0.0, self.until - now) if now - self.received_at <= _REPORT_TTL_SECONDS else 0.0
 
 
 class LinkQueue:
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self._free_at: dict[str, float] = {}
-        self._told: dict[str, dict[str, _Moves]] = {}
+        self._reported: dict[str, dict[str, _ReportedTransfers]] = {}
         """What nodes told of their moves, by store: a node that has none there is not looked at."""
 
     def add(self, store: str, seconds: float, now: float) -> None:
@@ -40,27 +40,27 @@
         """Return the seconds of this node's moves that are left, by store."""
         return {s: at - now for s, at in self._free_at.items() if at > now}
 
-    def together(self, nodes: Collection[str], now: float) -> dict[str, float]:
+    def total(self, nodes: Collection[str], now: float) -> dict[str, float]:
         """Return the seconds of moves that are left of this node and of `nodes` in one."""
         totals = self.own(now)
-        for store, moves in self._told.items():
+        for store, moves in self._reported.items():
             left = sum(move.left(now) for node, move in moves.items() if node in nodes)
             if left > 0:
                 totals[store] = totals.get(store, 0.0) + left
         return totals
 
-    def told(self, node: str, waits: Mapping[str, float], now: float) -> None:
+    def update_node(self, node: str, waits: Mapping[str, float], now: float) -> None:
         """Take what another node says of its own moves."""
-        for store, moves in self._told.items():
+        for store, moves in self._reported.items():
             if store not in waits:
                 moves.pop(node, None)
         for store, seconds in waits.items():
-            self._told.setdefault(store, {})[node] = _Moves(now, now + seconds)
+            self._reported.setdefault(store, {})[node] = _ReportedTransfers(now, now + seconds)
 
     def wait(self, store: str, now: float) -> float:
         """Return the seconds until the link of `store` is free."""
         left = max(0.0, self._free_at.get(store, now) - now)
-        told = self._told.get(store, {})
+        told = self._reported.get(store, {})
         for node in [node for node, moves in told.items() if moves.left(now) <= 0]:
             del told[node]
         return left + sum(moves.left(now) for moves in told.values())
--- a/packages/core/src/fielddrift_core/links.py
+++ b/packages/core/src/fielddrift_core/links.py
@@ -15,15 +15,15 @@
 
 __all__ = ["Link"]
 
-FADE_SECONDS = 60.0
-NEW_WEIGHT = 0.5
-_MOST_EXPORT_WAIT = 0.5
-_OLDEST_IMPORT = 60.0
-_SLOWEST_PART = 0.001
+RECOVERY_SECONDS = 60.0
+NEW_SAMPLE_WEIGHT = 0.5
+_MAX_EXPORT_WAIT_SECONDS = 0.5
+_IMPORT_EXPIRY_SECONDS = 60.0
+_MIN_RATE_FRACTION = 0.001
 
 
 class _Import(NamedTuple):
-    began: float
+    began_at: float
     size: int
     ahead: int
 
@@ -40,17 +40,17 @@
         self._learned = rate
         self._learned_at = 0.0
         self._imports: dict[Hashable, _Import] = {}
-        self._exporting = 0
+        self._exporting_bytes = 0
 
     def rate(self, now: float) -> float:
         """Return the rate that the link seems to have, at most what it is said to have.
 
         An import that is already late tells of it before it ends.
         """
-        part = (self._learned / self._rate) ** math.exp((self._learned_at - now) / FADE_SECONDS)
+        part = (self._learned / self._rate) ** math.exp((self._learned_at - now) / RECOVERY_SECONDS)
         rates = [self._rate * min(1.0, part)]
-        rates += [(i.ahead + i.size) / max(now - i.began, 1e-9) for i in self._imports.values()]
-        return max(self._rate * _SLOWEST_PART, min(rates))
+        rates += [(i.ahead + i.size) / max(now - i.began_at, 1e-9) for i in self._imports.values()]
+        return max(self._rate * _MIN_RATE_FRACTION, min(rates))
 
     def import_seconds(self, size: int, now: float) -> float:
         """Return how long an import of `size` bytes would take from now."""
@@ -59,7 +59,7 @@
 
     def may_export(self, now: float) -> bool:
         """Return whether an export fits into what the imports leave."""
-        return not self._exporting and self.import_seconds(0, now) <= _MOST_EXPORT_WAIT
+        return not self._exporting_bytes and self.import_seconds(0, now) <= _MAX_EXPORT_WAIT_SECONDS
 
     def begin_import(self, key: Hashable, size: int, now: float) -> None:
         """Count the import `key` as under way."""
@@ -75,22 +75,22 @@
             return
         seen = min(self._rate, (ended.ahead + ended.size) / seconds)
         before = self.rate(now)
-        self._learned = before * (seen / before) ** NEW_WEIGHT
+        self._learned = before * (seen / before) ** NEW_SAMPLE_WEIGHT
         self._learned_at = now
 
     def begin_export(self, size: int) -> None:
         """Count an export as under way."""
-        self._exporting += size
+        self._exporting_bytes += size
 
     def end_export(self, size: int) -> None:
         """Count an export as ended."""
-        self._exporting -= size
+        self._exporting_bytes -= size
 
     def _outstanding(self) -> int:
         return sum(i.size for i in self._imports.values())
 
     def _expire(self, now: float) -> None:
         # The end of another node's import may never be heard of.
-        old = [key for key, i in self._imports.items() if now - i.began > _OLDEST_IMPORT]
+        old = [key for key, i in self._imports.items() if now - i.began_at > _IMPORT_EXPIRY_SECONDS]
         for key in old:
             del self._imports[key]
--- a/packages/core/src/fielddrift_core/loading.py
+++ b/packages/core/src/fielddrift_core/loading.py
@@ -15,29 +15,29 @@
 
     def __init__(self) -> None:
         self._own: dict[str, float] = {}
-        self._told: dict[str, float] = {}
-        self._told_remote: dict[str, float] = {}
+        self._reported: dict[str, float] = {}
+        self._reported_remote: dict[str, float] = {}
         self.changes = 0
         """Rises with what this node itself learns, which must count at once."""
 
-    def note(self, engine: str, until: float) -> None:
+    def record_own(self, engine: str, until: float) -> None:
         """Take that `engine` loads until then, by this node's own knowledge."""
         self._own[engine] = max(until, self._own.get(engine, until))
         self.changes += 1
 
-    def told(self, engine: str, until: float, *, remote: bool = False) -> None:
+    def record_reported(self, engine: str, until: float, *, remote: bool = False) -> None:
         """Take that `engine` loads until then, by another node's word.
 
         `remote` says that the node is in another data centre.
         """
-        told = self._told_remote if remote else self._told
+        told = self._reported_remote if remote else self._reported
         told[engine] = max(until, told.get(engine, until))
 
     def ended(self, engine: str) -> None:
         """Take that `engine` has loaded."""
         self._own.pop(engine, None)
-        self._told.pop(engine, None)
-        self._told_remote.pop(engine, None)
+        self._reported.pop(engine, None)
+        self._reported_remote.pop(engine, None)
         self.changes += 1
 
     def seconds(self, engine: str, now: float) -> float:
@@ -50,16 +50,16 @@
         self._expire(now)
         return {engine: until - now for engine, until in self._own.items()}
 
-    def nearby(self, now: float) -> dict[str, float]:
+    def in_data_centre(self, now: float) -> dict[str, float]:
         """Return the same by the knowledge of this node and of those nearby."""
         self._expire(now)
-        longest = dict(self._told)
+        longest = dict(self._reported)
         for engine, until in self._own.items():
             longest[engine] = max(until, longest.get(engine, until))
         return {engine: until - now for engine, until in longest.items()}
 
     def _all(self) -> tuple[dict[str, float], ...]:
-        return self._own, self._told, self._told_remote
+        return self._own, self._reported, self._reported_remote
 
     def _expire(self, now: float) -> None:
         for times in self._all():
--- a/packages/core/src/fielddrift_core/lost_runs.py
+++ b/packages/core/src/fielddrift_core/lost_runs.py
@@ -13,10 +13,10 @@
 
 __all__ = ["LostRun", "LostRuns"]
 
-_DOUBT_SECONDS = 5.0
+_PENDING_SECONDS = 5.0
 """How long the end of a target may explain a run that broke off: an entry is gone after three
 heartbeats of silence, and read within a second."""
-_ENDED_SECONDS = 10.0
+_ENDED_TTL_SECONDS = 10.0
 """How long runs at a target known to have ended may still break off, on slow links."""
 
 
@@ -39,42 +39,44 @@
     """Runs in doubt, by the name of their target's life.  Not safe for threads."""
 
     def __init__(self) -> None:
-        self._doubts: dict[str, list[LostRun]] = {}
-        self._ended: dict[str, float] = {}
+        self._pending: dict[str, list[LostRun]] = {}
+        self._ended_at: dict[str, float] = {}
         """When targets were known to have ended."""
 
     def __contains__(self, target: str) -> bool:
         """Return whether runs at `target` are in doubt."""
-        return target in self._doubts
+        return target in self._pending
 
     @property
     def targets(self) -> list[str]:
         """Return the targets at which runs are in doubt."""
-        return list(self._doubts)
+        return list(self._pending)
 
-    def broke_off(self, run: LostRun) -> bool:
+    def add(self, run: LostRun) -> bool:
         """Take a run that broke off; return whether its target is known to have ended."""
-        if run.target in self._ended:
+        if run.target in self._ended_at:
             return True
-        self._doubts.setdefault(run.target, []).append(run)
+        self._pending.setdefault(run.target, []).append(run)
         return False
 
     def ended(self, target: str, now: float) -> list[LostRun]:
         """Take the end of `target`; return the runs that broke off for it."""
-        runs = self._doubts.pop(target, [])
+        runs = self._pending.pop(target, [])
         if runs:
-            self._ended[target] = now
+            self._ended_at[target] = now
         return runs
 
-    def lives(self, target: str) -> None:
+    def cancel_end(self, target: str) -> None:
         """Take that `target` has not ended after all."""
-        self._ended.pop(target, None)
+        self._ended_at.pop(target, None)
 
     def expire(self, now: float) -> None:
         """Forget runs whose targets have shown no end, and ends that are over."""
-        _forget(self._ended, (t for t, at in self._ended.items() if now - at > _ENDED_SECONDS))
-        old = (t for t, runs in self._doubts.items() if now - runs[0].at > _DOUBT_SECONDS)
-        _forget(self._doubts, old)
+        _forget(
+            self._ended_at, (t for t, at in self._ended_at.items() if now - at > _ENDED_TTL_SECONDS)
+        )
+        old = (t for t, runs in self._pending.items() if now - runs[0].at > _PENDING_SECONDS)
+        _forget(self._pending, old)
 
 
 def _forget(known: dict[str, float] | dict[str, list[LostRun]], names: Iterable[str]) -> None:
--- a/packages/core/src/fielddrift_core/memory.py
+++ b/packages/core/src/fielddrift_core/memory.py
@@ -14,12 +14,12 @@
 
 __all__ = ["EngineMemory"]
 
-_OWN_PART = 0.4
+_OWN_FRACTION = 0.4
 """Part of an engine's memory that is taken to hold what this node sent: runs
 under way and other nodes' prompts take the rest."""
 
 
-class _Kept(NamedTuple):
+class _CachedPart(NamedTuple):
     """A part of so many tokens, by the last send that brought or used it."""
 
     tokens: int
@@ -30,7 +30,7 @@
     """Parts by engine, newest use last.  Not safe for threads."""
 
     def __init__(self) -> None:
-        self._held: dict[str, OrderedDict[tuple[str, str], _Kept]] = {}
+        self._held: dict[str, OrderedDict[tuple[str, str], _CachedPart]] = {}
         self._sends = 0
 
     def sent(self, engine: str, salt: str, parts: Iterable[Part], capacity: int) -> int:
@@ -42,14 +42,14 @@
         held = self._held.setdefault(engine, OrderedDict())
         for part in parts:
             held.pop((salt, part.id), None)
-            held[(salt, part.id)] = _Kept(part.tokens, self._sends)
+            held[(salt, part.id)] = _CachedPart(part.tokens, self._sends)
         total = sum(kept.tokens for kept in held.values())
-        while held and total > capacity * _OWN_PART:
+        while held and total > capacity * _OWN_FRACTION:
             _, kept = held.popitem(last=False)
             total -= kept.tokens
         return self._sends
 
-    def not_sent(self, engine: str, salt: str, parts: Iterable[str], *, send: int) -> None:
+    def undo_send(self, engine: str, salt: str, parts: Iterable[str], *, send: int) -> None:
         """Forget `parts`, by id, of the send numbered `send`, which `engine` turned away.
 
         What another prompt brought there meanwhile stays.
--- a/packages/core/src/fielddrift_core/overload.py
+++ b/packages/core/src/fielddrift_core/overload.py
@@ -10,39 +10,39 @@
 
 import random
 
-__all__ = ["LATE_PART", "come_back", "is_crowded", "return_after"]
+__all__ = ["LATE_FRACTION", "is_congested", "refusal_delay", "retry_delay"]
 
-LATE_PART = 0.95
+LATE_FRACTION = 0.95
 """Estimate, in parts of the aim, from which an answer is taken to be late: estimates
 are off by a tenth in the median, and a refusal costs a caller less than a late answer."""
-_RETURN_PART = 1 / 3
+_RETRY_FRACTION = 1 / 3
 """Callers wait at most such a part of the time that they have left."""
-_SPREAD = 0.7
+_MIN_JITTER = 0.7
 """Times to come back lie between this part of the longest one and all of it, so
 that those who are sent away together do not return together."""
-_CROWDED_PART = 0.2
+_CONGESTION_FRACTION = 0.2
 """Part of the aim that others must take before a prompt is sent away because of them:
 one that takes long by itself is late whenever it comes, and would never be taken."""
 
 
-def is_crowded(*, queue: float, aim: float) -> bool:
+def is_congested(*, queue_seconds: float, latency_goal: float) -> bool:
     """Return whether others keep a prompt waiting: `queue` is the seconds that they take."""
-    return queue > _CROWDED_PART * aim
+    return queue_seconds > _CONGESTION_FRACTION * latency_goal
 
 
-def come_back(
-    *, patience: float, estimate: float, aim: float, crowded: bool, rng: random.Random
+def refusal_delay(
+    *, time_left: float, estimate: float, latency_goal: float, congested: bool, rng: random.Random
 ) -> float | None:
     """Return the seconds after which a caller should return; None to take its request.
 
     `estimate` is when its answer would begin, `crowded` whether others
     keep it waiting, `patience` how long the caller waits.
     """
-    if not crowded or estimate <= LATE_PART * aim:
+    if not congested or estimate <= LATE_FRACTION * latency_goal:
         return None
-    return return_after(patience=patience, rng=rng)
+    return retry_delay(time_left=time_left, rng=rng)
 
 
-def return_after(*, patience: float, rng: random.Random) -> float:
+def retry_delay(*, time_left: float, rng: random.Random) -> float:
     """Return the seconds after which a caller that waits for `patience` should return."""
-    return max(0.0, patience) * _RETURN_PART * rng.uniform(_SPREAD, 1.0)
+    return max(0.0, time_left) * _RETRY_FRACTION * rng.uniform(_MIN_JITTER, 1.0)
--- a/packages/core/src/fielddrift_core/pace.py
+++ b/packages/core/src/fielddrift_core/pace.py
@@ -13,33 +13,33 @@
 
 import math
 
-__all__ = ["Pace"]
+__all__ = ["EngineSlowdowns"]
 
 _SERVICE_WEIGHT = 0.03
 """Weight of the newest first event in a service's pace: some thirty count."""
 _ENGINE_WEIGHT = 0.1
-_LEAST_RATIO = 0.3
-_MOST_RATIO = 6.0
+_MIN_RATIO = 0.3
+_MAX_RATIO = 6.0
 """First events that came earlier, or later, by more than these factors count as by these."""
 
 
-class Pace:
+class EngineSlowdowns:
     """How long engines take, in parts of what is estimated for usual ones."""
 
     def __init__(self) -> None:
         self._services: dict[str, float] = {}
         self._engines: dict[str, float] = {}
 
-    def saw(self, service: str, engine: str, *, estimate: float, seconds: float) -> None:
+    def observe(self, service: str, engine: str, *, estimate: float, seconds: float) -> None:
         """Take that an engine took `seconds` for what is estimated at `estimate`."""
-        ratio = min(_MOST_RATIO, max(_LEAST_RATIO, seconds / estimate))
+        ratio = min(_MAX_RATIO, max(_MIN_RATIO, seconds / estimate))
         common = self._services.get(service, 0.0)
         own = self._engines.get(engine, 0.0)
         error = math.log(ratio) - common - own
         self._services[service] = common + _SERVICE_WEIGHT * error
         self._engines[engine] = own + _ENGINE_WEIGHT * error
 
-    def of(self, service: str, engine: str) -> float:
+    def factor(self, service: str, engine: str) -> float:
         """Return how long an engine takes, in parts of the estimate for a usual one."""
         common, own = self._services.get(service, 0.0), self._engines.get(engine, 0.0)
         return math.exp(common + own) if common or own else 1.0
--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -334,7 +334,7 @@
 
 
 def _late_probability(part: float) -> float:
-    """Return the probability that a response is late whose estimate is `part` times the latency goal."""
+    """Return the probability of a late response whose estimate is `part` of the latency goal."""
     return min(1.0, max(0.0, (part - _LATE_RAMP_START) / (_LATE_RAMP_END - _LATE_RAMP_START)))
 
 
--- a/packages/core/src/fielddrift_core/retries.py
+++ b/packages/core/src/fielddrift_core/retries.py
@@ -11,17 +11,17 @@
 import random
 from enum import StrEnum
 
-__all__ = ["Breaker", "BreakerState", "RetryBudget", "WindowBudget", "backoff"]
+__all__ = ["BreakerState", "CircuitBreaker", "RetryBudget", "WindowBudget", "backoff"]
 
-BUDGET_SHARE = 0.1
+BUDGET_RATIO = 0.1
 BUDGET_FLOOR = 3.0
-FIRST_WAIT = 0.02
-LONGEST_WAIT = 1.0
-BREAK_AFTER = 3
-FIRST_REST = 0.5
-LONGEST_REST = 8.0
+FIRST_WAIT_SECONDS = 0.02
+MAX_WAIT_SECONDS = 1.0
+FAILURE_THRESHOLD = 3
+FIRST_OPEN_SECONDS = 0.5
+MAX_OPEN_SECONDS = 8.0
 _SLICES = 10
-_WINDOW_MARGIN = 0.8
+_WINDOW_SPEND_FRACTION = 0.8
 """Part of a shared budget that is spent: other nodes' counts are not known exactly."""
 
 
@@ -30,7 +30,7 @@
 
     None when the wait would use up the time `left` to the deadline.
     """
-    span = min(LONGEST_WAIT, FIRST_WAIT * 2**attempt)
+    span = min(MAX_WAIT_SECONDS, FIRST_WAIT_SECONDS * 2**attempt)
     wait = rng.uniform(span / 2, span)
     return wait if wait < left else None
 
@@ -42,16 +42,16 @@
     a quiet node are still retried.
     """
 
-    def __init__(self, *, share: float = BUDGET_SHARE, floor: float = BUDGET_FLOOR) -> None:
+    def __init__(self, *, share: float = BUDGET_RATIO, floor: float = BUDGET_FLOOR) -> None:
         self._share = share
         self._floor = floor
         self._tokens = floor
 
-    def first_try(self) -> None:
+    def record_first_try(self) -> None:
         """Add a first try's share to the budget."""
         self._tokens = min(self._floor * 10, self._tokens + self._share)
 
-    def take(self) -> bool:
+    def spend(self) -> bool:
         """Spend one retry; False when the budget is empty."""
         if self._tokens < 1:
             return False
@@ -67,21 +67,21 @@
     PROBING = "probing"
 
 
-class Breaker:
+class CircuitBreaker:
     """Rest a target after failures in a row; rests double up to `longest` seconds."""
 
-    def __init__(self, *, longest: float = LONGEST_REST) -> None:
-        self._longest = longest
+    def __init__(self, *, max_open_seconds: float = MAX_OPEN_SECONDS) -> None:
+        self._max_open_seconds = max_open_seconds
         self._failures = 0
-        self._rest = FIRST_REST
-        self._until = 0.0
+        self._open_seconds = FIRST_OPEN_SECONDS
+        self._open_until = 0.0
         self._probing = False
 
     def state(self, now: float) -> BreakerState:
         """Return the state at `now`."""
-        if self._failures < BREAK_AFTER:
+        if self._failures < FAILURE_THRESHOLD:
             return BreakerState.CLOSED
-        if now < self._until or self._probing:
+        if now < self._open_until or self._probing:
             return BreakerState.OPEN
         return BreakerState.PROBING
 
@@ -97,17 +97,17 @@
     def succeeded(self) -> None:
         """Close the breaker."""
         self._failures = 0
-        self._rest = FIRST_REST
+        self._open_seconds = FIRST_OPEN_SECONDS
         self._probing = False
 
     def failed(self, now: float) -> None:
         """Count a failure; open, or rest longer, once there are enough."""
         self._failures += 1
         self._probing = False
-        if self._failures < BREAK_AFTER:
+        if self._failures < FAILURE_THRESHOLD:
             return
-        self._until = now + self._rest
-        self._rest = min(self._longest, self._rest * 2)
+        self._open_until = now + self._open_seconds
+        self._open_seconds = min(self._max_open_seconds, self._open_seconds * 2)
 
 
 class WindowBudget:
@@ -119,17 +119,17 @@
     """
 
     def __init__(self, *, ratio: float, slack: float, window: float) -> None:
-        self._ratio = ratio * _WINDOW_MARGIN
-        self._slack = slack * _WINDOW_MARGIN
+        self._ratio = ratio * _WINDOW_SPEND_FRACTION
+        self._slack = slack * _WINDOW_SPEND_FRACTION
         self._slice = window / _SLICES
         self._firsts: dict[int, int] = {}
         self._repeats: dict[int, int] = {}
 
-    def first(self, now: float) -> None:
+    def record_first(self, now: float) -> None:
         """Count a first send."""
         self._count(self._firsts, now)
 
-    def take(self, now: float, *, nodes: int) -> bool:
+    def spend(self, now: float, *, nodes: int) -> bool:
         """Spend one repeated send; False when the window has no room for it."""
         allowed = self._ratio * self._sum(self._firsts, now) + self._slack / max(1, nodes)
         if self._sum(self._repeats, now) + 1 > allowed:
--- a/packages/core/src/fielddrift_core/rollout.py
+++ b/packages/core/src/fielddrift_core/rollout.py
@@ -20,37 +20,37 @@
     "SAVED_ERROR_SECONDS",
     "DutyRow",
     "EngineWeights",
-    "NamedTimes",
     "Naming",
+    "NamingTimes",
     "StoreClock",
     "VersionAge",
-    "first_take",
-    "may_take",
+    "earliest_takeover",
+    "may_take_over",
+    "next_check",
     "next_loads",
-    "next_look",
     "seconds_to_begin",
-    "soon_loading",
     "times_to_save",
+    "upcoming_loads",
 ]
 
 LEASE_SECONDS = 1.2
 """How long orders may be given after a grant: two renewals' time, so that a
 killed holder's duty moves on within seconds."""
-_TURN_MARGIN = 0.3
+_TAKEOVER_MARGIN_SECONDS = 0.3
 """Seconds beyond a turn that a successor waits: an order may be some time on its way."""
-_LOADING_PART = 3
+_LOADING_DIVISOR = 3
 """One in so many engines loads at once: the others carry the work meanwhile."""
-_LEAST_AT_ONCE = 3
+_MIN_CONCURRENT_LOADS = 3
 """Engines that load as quickly together as one alone."""
-_REMEMBERED_PLACES = 16
+_RANK_CACHE_SIZE = 16
 """Rollouts whose order is remembered: some models at a time, each with a few sets of engines."""
-_MOST_TOLD = 4
+_MAX_VERSIONS = 4
 """Versions of a model whose ages are told and saved: the time for older weights is over
 before operators name a fifth."""
 SAVED_ERROR_SECONDS = 0.5
 """Seconds by which a saved naming may be later than a node knows it to be, beside what the
 node's own reading of the platform's clock may be off: other nodes' readings are too."""
-_BEGIN_MARGIN = 0.5
+_BEGIN_MARGIN_SECONDS = 0.5
 """Seconds before the end of the time for older weights at which a request that waits is
 called off: an engine hears of it within some ms, over a link in trouble some hundred."""
 
@@ -79,21 +79,21 @@
         return self.sent + (moment - self.clock)
 
 
-def may_take(
+def may_take_over(
     row: DutyRow | None, *, holder: str, clock: StoreClock, now: float, turn: float
 ) -> bool:
     """Return whether `holder` may take the duty over now."""
     if row is None or row.holder == holder:
         return True
-    return clock.earliest(now) >= row.until + turn + _TURN_MARGIN
+    return clock.earliest(now) >= row.until + turn + _TAKEOVER_MARGIN_SECONDS
 
 
-def next_look(row: DutyRow, *, clock: StoreClock, turn: float) -> float:
+def next_check(row: DutyRow, *, clock: StoreClock, turn: float) -> float:
     """Return the local time before which another's `row` cannot be found free.
 
     Its holder may give the duty back right after the reading, but no sooner.
     """
-    soonest = min(row.until, clock.clock) + turn + _TURN_MARGIN
+    soonest = min(row.until, clock.clock) + turn + _TAKEOVER_MARGIN_SECONDS
     return clock.heard + (soonest - clock.clock)
 
 
@@ -112,25 +112,25 @@
     at: float
 
 
-def seconds_to_begin(outdated: float, *, bound: float) -> float:
+def seconds_to_begin(outdated: float, *, max_outdated: float) -> float:
     """Return in how many seconds a request must begin on weights `outdated` for so long.
 
     `bound` is the time for older weights; the newest weights, outdated for 0 s,
     may be begun on at any time.
     """
-    return bound - _BEGIN_MARGIN - outdated if outdated > 0 else float("inf")
+    return max_outdated - _BEGIN_MARGIN_SECONDS - outdated if outdated > 0 else float("inf")
 
 
-def first_take(era_since: float, *, turn: float) -> float:
+def earliest_takeover(era_since: float, *, turn: float) -> float:
     """Return the first local time at which a duty may be taken that no row of this era names.
 
     `era_since` is when the era was first met.  The store may have lost the row of a holder
     whose lease ran then, and who gave its last order just before that ended.
     """
-    return era_since + LEASE_SECONDS + turn + _TURN_MARGIN
+    return era_since + LEASE_SECONDS + turn + _TAKEOVER_MARGIN_SECONDS
 
 
-class NamedTimes:
+class NamingTimes:
     """When each named weight version became known, here or to whoever told of it.
 
     Each version counts on its own: weights are outdated from when the first
@@ -145,11 +145,11 @@
         times = self._times.setdefault(model, {})
         times[version] = min(at, times.get(version, at))
 
-    def at(self, model: str, version: int) -> float | None:
+    def named_at(self, model: str, version: int) -> float | None:
         """Return when `version` became known, None when it is not."""
         return self._times.get(model, {}).get(version)
 
-    def outdating(self, model: str, weights: int) -> Naming | None:
+    def first_newer(self, model: str, weights: int) -> Naming | None:
         """Return the first naming that outdated `weights`, None when nothing newer was named."""
         times = self._times.get(model, {})
         newer = [Naming(version, at) for version, at in times.items() if version > weights]
@@ -167,7 +167,7 @@
             for version, at in self.newest(model).items()
         )
 
-    def restored(self, model: str, saved: Mapping[int, float], clock: StoreClock) -> None:
+    def restore(self, model: str, saved: Mapping[int, float], clock: StoreClock) -> None:
         """Take when versions of `model` were named on the platform's clock."""
         for version, moment in saved.items():
             self.heard(model, version, clock.local(moment))
@@ -191,7 +191,7 @@
 
 
 def _newest(times: Mapping[int, float]) -> dict[int, float]:
-    return {version: times[version] for version in sorted(times)[-_MOST_TOLD:]}
+    return {version: times[version] for version in sorted(times)[-_MAX_VERSIONS:]}
 
 
 class EngineWeights(NamedTuple):
@@ -206,48 +206,50 @@
     outdated: float = 0.0
 
 
-def next_loads(engines: Collection[EngineWeights], *, wanted: int, longest: float) -> list[str]:
+def next_loads(
+    engines: Collection[EngineWeights], *, wanted: int, max_outdated: float
+) -> list[str]:
     """Return the engines that should begin to load the weights `wanted`.
 
     About a third loads at once, the first in line.  Engines that have been
     outdated for the `longest` seconds begin at once, however many load.
     """
-    late = [e.name for e in engines if _behind(e, wanted) and e.outdated > longest]
-    in_line = [name for name in _line(engines, wanted) if name not in late]
-    free = _at_once(engines) - sum(engine.loading for engine in engines)
+    late = [e.name for e in engines if _needs_load(e, wanted) and e.outdated > max_outdated]
+    in_line = [name for name in _load_order(engines, wanted) if name not in late]
+    free = _max_concurrent(engines) - sum(engine.loading for engine in engines)
     return late + in_line[: max(0, free - len(late))]
 
 
-def soon_loading(engines: Collection[EngineWeights], *, wanted: int) -> frozenset[str]:
+def upcoming_loads(engines: Collection[EngineWeights], *, wanted: int) -> frozenset[str]:
     """Return the engines that load the weights `wanted` after those that load now.
 
     Every node finds the same ones.  Long answers sent there would hold their
     loads up: an engine ends what it runs before it loads, and takes nothing new
     meanwhile.
     """
-    return frozenset(_line(engines, wanted)[: _at_once(engines)])
+    return frozenset(_load_order(engines, wanted)[: _max_concurrent(engines)])
 
 
-def _at_once(engines: Collection[EngineWeights]) -> int:
-    return max(_LEAST_AT_ONCE, len(engines) // _LOADING_PART)
+def _max_concurrent(engines: Collection[EngineWeights]) -> int:
+    return max(_MIN_CONCURRENT_LOADS, len(engines) // _LOADING_DIVISOR)
 
 
-def _behind(engine: EngineWeights, wanted: int) -> bool:
+def _needs_load(engine: EngineWeights, wanted: int) -> bool:
     return engine.weights < wanted and not engine.loading
 
 
-def _line(engines: Collection[EngineWeights], wanted: int) -> list[str]:
+def _load_order(engines: Collection[EngineWeights], wanted: int) -> list[str]:
     """Return the engines that are yet to load, in the order in which they should.
 
     Those with the oldest weights come first, and the data centres take turns.
     """
     queues: dict[str, list[EngineWeights]] = {}
     for engine in engines:
-        if _behind(engine, wanted):
+        if _needs_load(engine, wanted):
             queues.setdefault(engine.data_centre, []).append(engine)
     if not queues:
         return []
-    places = _places(wanted, tuple(sorted(engine.name for engine in engines)))
+    places = _rank_positions(wanted, tuple(sorted(engine.name for engine in engines)))
     for queue in queues.values():
         # The first in line stands last, from where it is taken away.
         queue.sort(key=lambda e: (-e.weights, -places[e.name]))
@@ -264,8 +266,8 @@
     return line
 
 
-@lru_cache(maxsize=_REMEMBERED_PLACES)
-def _places(wanted: int, names: tuple[str, ...]) -> Mapping[str, int]:
+@lru_cache(maxsize=_RANK_CACHE_SIZE)
+def _rank_positions(wanted: int, names: tuple[str, ...]) -> Mapping[str, int]:
     """Return each engine's place by rank; worked out once while a rollout's engines stay."""
     ranked = rank(str(wanted), [(name, 1.0) for name in names])
     return {name: place for place, name in enumerate(ranked)}
--- a/packages/core/src/fielddrift_core/waiting.py
+++ b/packages/core/src/fielddrift_core/waiting.py
@@ -12,29 +12,29 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-__all__ = ["Line", "Turnover", "Waiter", "line_name"]
+__all__ = ["MemoryTurnover", "PromptQueue", "WaitingPrompt", "queue_name"]
 
-_START_HOLD_SECONDS = 1.0
+_INITIAL_HOLD_SECONDS = 1.0
 """How long a run is taken to keep its memory until some have ended: a second's answer."""
-_HOLD_TOKENS = 60_000
+_HOLD_DECAY_TOKENS = 60_000
 """Tokens of ended runs after which the seconds before them count a third: about what
 one engine holds, so that a crowd shows within one turn of its memory."""
-_RESERVED_PART = 0.15
+_RESERVED_FRACTION = 0.15
 """Part of an engine's memory that is kept for the most urgent: what finds no room there
 pushes less urgent runs out, and each of these reads its whole prompt anew."""
 _HANDOVER_SECONDS = 0.06
 """Time from the end of a run until a prompt that waits at a node reaches the engine: the
 news of it, a look, a connection."""
-_LEAST_HOLD_SECONDS = 0.1
+_MIN_HOLD_SECONDS = 0.1
 """Runs that are shorter are taken to keep their memory for so long."""
 
 
-def line_name(service: str, rank: int) -> str:
+def queue_name(service: str, rank: int) -> str:
     """Return the name under which nodes tell each other what waits for `service`."""
     return f"line:{service}:{rank}"
 
 
-class Waiter(NamedTuple):
+class WaitingPrompt(NamedTuple):
     """A prompt that waits: after `due` (loop time) its answer would be late.
 
     `request` names it in the load that nodes tell each other; `tokens` are the prompt's.
@@ -46,7 +46,7 @@
     tokens: int
 
 
-class Line:
+class PromptQueue:
     """The prompts of one service that wait at this node.  Not safe for threads.
 
     The more urgent rank comes first, within a rank whoever would be late first.
@@ -54,33 +54,33 @@
     """
 
     def __init__(self) -> None:
-        self._waiters: dict[int, Waiter] = {}
+        self._prompts: dict[int, WaitingPrompt] = {}
 
     def __len__(self) -> int:
-        return len(self._waiters)
+        return len(self._prompts)
 
-    def add(self, waiter: Waiter) -> None:
+    def add(self, prompt: WaitingPrompt) -> None:
         """Put a prompt in line."""
-        self._waiters[id(waiter)] = waiter
+        self._prompts[id(prompt)] = prompt
 
-    def remove(self, waiter: Waiter) -> None:
+    def remove(self, prompt: WaitingPrompt) -> None:
         """Take a prompt out."""
-        self._waiters.pop(id(waiter), None)
+        self._prompts.pop(id(prompt), None)
 
-    def first(self) -> Waiter | None:
+    def head(self) -> WaitingPrompt | None:
         """Return whose turn it is, None when nobody waits."""
-        return min(self._waiters.values(), key=lambda w: (w.rank, w.due), default=None)
+        return min(self._prompts.values(), key=lambda w: (w.rank, w.due), default=None)
 
-    def before(self, rank: int) -> int:
+    def count_ahead(self, rank: int) -> int:
         """Return how many prompts that wait come before a new one of `rank`."""
-        return sum(waiter.rank <= rank for waiter in self._waiters.values())
+        return sum(waiter.rank <= rank for waiter in self._prompts.values())
 
 
-class Turnover:
+class MemoryTurnover:
     """How long runs keep an engine's memory, by the tokens that they keep, in seconds."""
 
     def __init__(self) -> None:
-        self._seconds = _START_HOLD_SECONDS
+        self._seconds = _INITIAL_HOLD_SECONDS
 
     @property
     def seconds(self) -> float:
@@ -89,18 +89,18 @@
 
     def ended(self, tokens: int, seconds: float) -> None:
         """Count a run that kept `tokens` for `seconds`."""
-        weight = 1.0 - math.exp(-tokens / _HOLD_TOKENS)
+        weight = 1.0 - math.exp(-tokens / _HOLD_DECAY_TOKENS)
         self._seconds += weight * (max(0.0, seconds) - self._seconds)
 
-    def room_part(self, rank: int, ranks: Sequence[int]) -> float:
+    def send_limit(self, rank: int, ranks: Sequence[int]) -> float:
         """Return how much an engine may be sent for a prompt of `rank`, in parts of its memory.
 
         Beside what its memory holds, an engine needs what takes the place of the runs that
         end before the next prompt can come from a node; without it, where runs are short,
         engines rest while prompts wait.
         """
-        part = 1.0 + _HANDOVER_SECONDS / max(_LEAST_HOLD_SECONDS, self._seconds)
-        return part if rank <= min(ranks, default=rank) else part - _RESERVED_PART
+        part = 1.0 + _HANDOVER_SECONDS / max(_MIN_HOLD_SECONDS, self._seconds)
+        return part if rank <= min(ranks, default=rank) else part - _RESERVED_FRACTION
 
     def wait(self, tokens: int, memory: int) -> float:
         """Return the seconds until `tokens` are free at engines that keep `memory` in all."""
--- a/packages/core/src/fielddrift_core/workload.py
+++ b/packages/core/src/fielddrift_core/workload.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-__all__ = ["TOLD_SECONDS", "Burden", "Lateness", "PeakRate", "TargetHealth", "Workload"]
+__all__ = ["REPORT_TTL_SECONDS", "Burden", "Lateness", "PeakRate", "TargetHealth", "Workload"]
 
-TOLD_SECONDS = 1.5
+REPORT_TTL_SECONDS = 1.5
 """Age at which another node's word on its sends no longer counts: five of its heartbeats."""
 
 _FAILURE_WEIGHT = 0.25
 """Weight of the newest answer in a target's share of failures: about eight answers count."""
-_FAILURE_FADE_SECONDS = 4.0
+_FAILURE_HALF_LIFE_SECONDS = 4.0
 """Time in which a share of failures halves while nothing is sent there."""
 
 
@@ -44,8 +44,8 @@
 _IDLE = Burden()
 
 
-class _Told(NamedTuple):
-    at: float
+class _NodeReport(NamedTuple):
+    received_at: float
     burdens: Mapping[str, Burden]
 
 
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         self._runs: dict[str, dict[str, Burden]] = {}
         self._own: dict[str, Burden] = {}
-        self._told: dict[str, _Told] = {}
+        self._reports: dict[str, _NodeReport] = {}
         """What each node told last, the oldest first."""
         self._others: dict[str, Burden] = {}
 
@@ -85,27 +85,27 @@
         """Return this node's own burdens, for the other nodes."""
         return dict(self._own)
 
-    def told(self, node: str, burdens: Mapping[str, Burden], now: float) -> bool:
+    def update_node(self, node: str, burdens: Mapping[str, Burden], now: float) -> bool:
         """Take what another node says of its own sends; True when some target has less to do."""
         before = self._forget(node)
         for target, burden in burdens.items():
             _add(self._others, target, burden)
-        self._told[node] = _Told(now, burdens)
+        self._reports[node] = _NodeReport(now, burdens)
         return any(
             burdens.get(target, _IDLE).memory < burden.memory for target, burden in before.items()
         )
 
-    def together(self, nodes: Iterable[str], now: float) -> dict[str, Burden]:
+    def total(self, nodes: Iterable[str], now: float) -> dict[str, Burden]:
         """Return the burdens of this node and of `nodes` in one."""
         self._expire(now)
         totals = dict(self._own)
         for node in nodes:
-            told = self._told.get(node)
+            told = self._reports.get(node)
             for target, burden in told.burdens.items() if told is not None else ():
                 _add(totals, target, burden)
         return totals
 
-    def at(self, target: str, now: float) -> Burden:
+    def burden_of(self, target: str, now: float) -> Burden:
         """Return everything known to be at `target`."""
         self._expire(now)
         return self._own.get(target, _IDLE) + self._others.get(target, _IDLE)
@@ -116,7 +116,7 @@
         runs[run] = burden
 
     def _forget(self, node: str) -> Mapping[str, Burden]:
-        told = self._told.pop(node, None)
+        told = self._reports.pop(node, None)
         if told is None:
             return {}
         for target, burden in told.burdens.items():
@@ -125,9 +125,9 @@
 
     def _expire(self, now: float) -> None:
         """Forget the nodes that fell silent: only the oldest words are looked at."""
-        while self._told:
-            node, told = next(iter(self._told.items()))
-            if now - told.at <= TOLD_SECONDS:
+        while self._reports:
+            node, told = next(iter(self._reports.items()))
+            if now - told.received_at <= REPORT_TTL_SECONDS:
                 return
             self._forget(node)
 
@@ -140,21 +140,21 @@
         totals[target] = total
 
 
-_LATE_WEIGHT = 0.4
+_LATENESS_WEIGHT = 0.4
 """Weight of the newest fetch in a store's lateness: two or three tell of a slow link."""
-_LATE_FADE_SECONDS = 2.0
+_LATENESS_HALF_LIFE_SECONDS = 2.0
 """Time in which a lateness halves: a link is tried again some seconds after it was slow."""
 
 
-class _Late(NamedTuple):
+class _DecayingLateness(NamedTuple):
     seconds: float
     at: float
 
-    def faded(self, now: float) -> float:
-        return float(self.seconds * 0.5 ** ((now - self.at) / _LATE_FADE_SECONDS))
+    def decayed(self, now: float) -> float:
+        return float(self.seconds * 0.5 ** ((now - self.at) / _LATENESS_HALF_LIFE_SECONDS))
 
 
-_IN_TIME = _Late(0.0, 0.0)
+_NO_LATENESS = _DecayingLateness(0.0, 0.0)
 
 
 class Lateness:
@@ -165,31 +165,35 @@
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Late] = {}
-        self._told: dict[str, _Late] = {}
+        self._own: dict[str, _DecayingLateness] = {}
+        self._reported: dict[str, _DecayingLateness] = {}
 
-    def came(self, store: str, seconds: float, now: float) -> None:
+    def observe(self, store: str, seconds: float, now: float) -> None:
         """Count a fetch that took `seconds` longer than estimated."""
-        late = self._seen.get(store, _IN_TIME).faded(now)
-        self._seen[store] = _Late(late + _LATE_WEIGHT * (max(0.0, seconds) - late), now)
+        late = self._own.get(store, _NO_LATENESS).decayed(now)
+        self._own[store] = _DecayingLateness(
+            late + _LATENESS_WEIGHT * (max(0.0, seconds) - late), now
+        )
 
-    def told(self, lateness: Mapping[str, float], now: float) -> None:
+    def merge_reported(self, lateness: Mapping[str, float], now: float) -> None:
         """Take what another node saw, where it is worse."""
         for store, seconds in lateness.items():
-            if seconds > self._told.get(store, _IN_TIME).faded(now):
-                self._told[store] = _Late(seconds, now)
+            if seconds > self._reported.get(store, _NO_LATENESS).decayed(now):
+                self._reported[store] = _DecayingLateness(seconds, now)
 
-    def known(self, now: float) -> dict[str, float]:
+    def own(self, now: float) -> dict[str, float]:
         """Return the lateness of each store that this node saw itself, in seconds."""
-        return {store: late.faded(now) for store, late in self._seen.items()}
+        return {store: late.decayed(now) for store, late in self._own.items()}
 
-    def of(self, store: str, now: float) -> float:
+    def for_store(self, store: str, now: float) -> float:
         """Return by how much `store` is later than the quickest of the others."""
-        return self.of_each(now).get(store, 0.0)
+        return self.by_store(now).get(store, 0.0)
 
-    def of_each(self, now: float) -> dict[str, float]:
+    def by_store(self, now: float) -> dict[str, float]:
         """Return by how much each store is later than the quickest of the others, in seconds."""
-        worst = {store: self._worst(store, now) for store in self._seen.keys() | self._told.keys()}
+        worst = {
+            store: self._highest(store, now) for store in self._own.keys() | self._reported.keys()
+        }
         if len(worst) < 2:
             return worst
         quickest, second = sorted(worst.values())[:2]
@@ -199,19 +203,21 @@
             for store, late in worst.items()
         }
 
-    def _worst(self, store: str, now: float) -> float:
-        return max(late.get(store, _IN_TIME).faded(now) for late in (self._seen, self._told))
+    def _highest(self, store: str, now: float) -> float:
+        return max(
+            late.get(store, _NO_LATENESS).decayed(now) for late in (self._own, self._reported)
+        )
 
 
 class TargetHealth:
     """Judge targets by their answers; a share of failures from 0 to 1 each."""
 
     def __init__(self) -> None:
-        self._shares: dict[str, tuple[float, float]] = {}
+        self._rates: dict[str, tuple[float, float]] = {}
 
-    def worked(self, target: str, now: float) -> None:
+    def succeeded(self, target: str, now: float) -> None:
         """Count an answer."""
-        if target in self._shares:
+        if target in self._rates:
             self._add(target, 0.0, now)
 
     def failed(self, target: str, now: float) -> None:
@@ -220,17 +226,17 @@
 
     def share(self, target: str, now: float) -> float:
         """Return the share of recent sends to `target` that failed."""
-        if target not in self._shares:
+        if target not in self._rates:
             return 0.0
-        share, at = self._shares[target]
-        return share * 0.5 ** ((now - at) / _FAILURE_FADE_SECONDS)
+        share, at = self._rates[target]
+        return share * 0.5 ** ((now - at) / _FAILURE_HALF_LIFE_SECONDS)
 
     def _add(self, target: str, value: float, now: float) -> None:
         share = self.share(target, now)
-        self._shares[target] = (share + _FAILURE_WEIGHT * (value - share), now)
+        self._rates[target] = (share + _FAILURE_WEIGHT * (value - share), now)
 
 
-_PEAK_SECONDS = 10
+_PEAK_WINDOW_SECONDS = 10
 """How long a peak counts: longer than the waves of the users' traffic."""
 
 
@@ -247,6 +253,6 @@
 
     def value(self, now: float) -> float:
         """Return the most events in any whole or running second that still counts."""
-        for second in [s for s in self._counts if s < int(now) - _PEAK_SECONDS]:
+        for second in [s for s in self._counts if s < int(now) - _PEAK_WINDOW_SECONDS]:
             del self._counts[second]
         return float(max(self._counts.values(), default=0))
--- a/packages/node/src/fielddrift_node/board.py
+++ b/packages/node/src/fielddrift_node/board.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
 from fielddrift_core.model import Configuration, Target, TargetRole
-from fielddrift_core.retries import Breaker, RetryBudget
+from fielddrift_core.retries import CircuitBreaker, RetryBudget
 from fielddrift_core.routing import Load, TargetView
 from fielddrift_core.target_notices import TargetPauses
 
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.load = Load()
         self.sent: OrderedDict[str, tuple[float, int]] = OrderedDict()
-        self.breaker = Breaker()
+        self.breaker = CircuitBreaker()
         self.budget = RetryBudget()
         self.versions: tuple[str, ...] | None = None
         self.epoch = 0
@@ -128,7 +128,7 @@
         with self._lock:
             note = self._note(name)
             note.breaker.sent(now)
-            note.budget.first_try()
+            note.budget.record_first_try()
             note.sent[run] = (now, tokens)
 
     def ended(self, name: str, run: str) -> None:
@@ -186,7 +186,7 @@
     def may_retry(self, name: str) -> bool:
         """Spend a retry on account of target `name`'s failure."""
         with self._lock:
-            return self._note(name).budget.take()
+            return self._note(name).budget.spend()
 
     # --- choosing ----------------------------------------------------------
 
--- a/packages/node/src/fielddrift_node/claims.py
+++ b/packages/node/src/fielddrift_node/claims.py
@@ -36,7 +36,7 @@
 )
 from fielddrift_core.errors import Refusal
 from fielddrift_core.interfaces import ExternalSystemError, Row, Table, Transaction, Write
-from fielddrift_core.retries import Breaker
+from fielddrift_core.retries import CircuitBreaker
 
 from . import clock
 from .log import get
@@ -96,7 +96,7 @@
         self._group_seconds = group_seconds
         self._book = AttemptRegistry()
         self._lock = threading.Lock()
-        self._breaker = Breaker(longest=_LONGEST_TABLE_REST)
+        self._breaker = CircuitBreaker(max_open_seconds=_LONGEST_TABLE_REST)
         self._inbox: queue.SimpleQueue[_Pending | None] = queue.SimpleQueue()
         self._unclean: dict[str, _Unclean] = {}
         self._stopped = threading.Event()
--- a/packages/node/src/fielddrift_node/crash_desk.py
+++ b/packages/node/src/fielddrift_node/crash_desk.py
@@ -111,7 +111,7 @@
     def broke_off(self, run: LostRun, target: Target) -> None:
         """Take a run that its target's side broke off."""
         with self._lock:
-            ended = self._lost.broke_off(run)
+            ended = self._lost.add(run)
             # One that is under way will tell of this run as well.
             looks = ended or run.target in self._probed
             if not looks:
@@ -134,7 +134,7 @@
                 return
             news = history.has_crashes(fingerprint) and history.clear(fingerprint, now)
             if history.ended_before(life, sent_at):
-                self._lost.lives(life)
+                self._lost.cancel_end(life)
                 news |= history.record_alive(life, sent_at)
         if news:
             self._note_held()
--- a/packages/node/src/fielddrift_node/duties.py
+++ b/packages/node/src/fielddrift_node/duties.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
 
-from fielddrift_core.holding import WEEK_SECONDS, Held, plan
+from fielddrift_core.holding import WEEK_SECONDS, StoredPrefix, plan_tiers
 from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import Configuration, Deployment, StoreHost, Target, TargetRole
 
@@ -109,7 +109,7 @@
         """Do one round on a store host; raise `ExternalSystemError`."""
         client = self._stores.client(store)
         held = client.held()
-        wanted = plan(
+        wanted = plan_tiers(
             held,
             rules=configuration.holds,
             memory=store.memory,
@@ -125,11 +125,11 @@
         self._delete_freed(now)
         self._sweep(client, store, held, now)
 
-    def _move(self, client: StoreClient, entry: Held, tier: str) -> None:
+    def _move(self, client: StoreClient, entry: StoredPrefix, tier: str) -> None:
         client.set_tier(entry.path, tier)
         self._metrics.add("holding.moved")
 
-    def _free(self, client: StoreClient, store: StoreHost, entry: Held, now: float) -> None:
+    def _free(self, client: StoreClient, store: StoreHost, entry: StoredPrefix, now: float) -> None:
         if client.remove(entry.path, entry.attempt):
             self._metrics.add("holding.freed")
             self._freed.append((now + GRACE_SECONDS, store, entry.attempt))
@@ -143,7 +143,9 @@
                 if part.startswith(attempt + "/"):
                     client.delete_part(part)
 
-    def _sweep(self, client: StoreClient, store: StoreHost, held: list[Held], now: float) -> None:
+    def _sweep(
+        self, client: StoreClient, store: StoreHost, held: list[StoredPrefix], now: float
+    ) -> None:
         """Delete parts whose manifest never came, or whose freeing was cut short."""
         known = {entry.attempt for entry in held}
         parts = client.parts()
--- a/packages/node/src/fielddrift_node/filters/admit.py
+++ b/packages/node/src/fielddrift_node/filters/admit.py
@@ -59,10 +59,10 @@
             tokens=exchange.need.tokens,
             ttft=choice.ttft,
             wait=choice.wait,
-            patience=exchange.left,
-            room_rate=choice.target.prefill_rate * len(exchange.targets),
+            ttft_limit=exchange.left,
+            capacity_rate=choice.target.prefill_rate * len(exchange.targets),
             now=clock.now(),
-            returning=runtime.tickets.counts(
+            is_retry=runtime.tickets.counts(
                 exchange.request.headers.get(TICKET_HEADER, ""), exchange.customer.name
             ),
         )
--- a/packages/node/src/fielddrift_node/keeping.py
+++ b/packages/node/src/fielddrift_node/keeping.py
@@ -5,7 +5,7 @@
 import uuid
 
 import msgspec
-from fielddrift_core.holding import should_keep
+from fielddrift_core.holding import should_export
 from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import StoreHost
 from fielddrift_core.names import Manifest, ManifestPart, PrefixName, prefix_name
@@ -28,7 +28,7 @@
     blocks = len(exchange.digests)
     kept = exchange.found.manifest.blocks if exchange.found else 0
     rule = exchange.configuration.holds.get(exchange.customer.name)
-    if runtime.watch.leaving or not should_keep(rule=rule, blocks=blocks, kept=kept):
+    if runtime.watch.leaving or not should_export(rule=rule, blocks=blocks, kept=kept):
         runtime.metrics.add("exports.skipped")
         return
     name = prefix_name(
--- a/packages/node/src/fielddrift_node/serving/begin_watch.py
+++ b/packages/node/src/fielddrift_node/serving/begin_watch.py
@@ -50,7 +50,7 @@
             # The route's patience is over in this moment: that is why the send ends.
             return
         outdated = self._views.outdated_seconds(self._model, self._weights, now)
-        left = seconds_to_begin(outdated, bound=self._bound)
+        left = seconds_to_begin(outdated, max_outdated=self._bound)
         if left <= 0:
             self._expired = True
             limit.reschedule(now)
--- a/packages/node/src/fielddrift_node/serving/beliefs.py
+++ b/packages/node/src/fielddrift_node/serving/beliefs.py
@@ -119,7 +119,7 @@
             service=target.service,
             leaving=target.name in leaving,
             weights={model: views.weights_of(target.name, model) for model in target.versions},
-            burden=views.workload.at(target.name, now),
+            burden=views.workload.burden_of(target.name, now),
             failures=round(views.health.share(target.name, now), 3),
             loading=round(views.loading.seconds(target.name, now), 3),
             cold=views.cold.is_cold(target.name, now),
--- a/packages/node/src/fielddrift_node/serving/crash_watch.py
+++ b/packages/node/src/fielddrift_node/serving/crash_watch.py
@@ -109,7 +109,7 @@
             return
         now = self._loop.time()
         run = LostRun(call.ask.request_id, call.fingerprint, name, now, now - sent_at)
-        if self._lost_runs.broke_off(run):
+        if self._lost_runs.add(run):
             self._record_crashes([run], "ended before")
         elif name not in self._probes:
             self._probes[name] = self._loop.create_task(self._probe(instance))
@@ -130,7 +130,7 @@
         # The request was sent after the recorded crash, so the target instance is still alive.
         if self._history.ended_before(target, sent_at):
             self._history.record_alive(target, sent_at)
-            self._lost_runs.lives(target)
+            self._lost_runs.cancel_end(target)
             self._publish(CrashUpdate(living=((target, now - sent_at),)))
 
     def lift(self, fingerprint: str) -> bool:
--- a/packages/node/src/fielddrift_node/serving/duty.py
+++ b/packages/node/src/fielddrift_node/serving/duty.py
@@ -12,9 +12,9 @@
     LEASE_SECONDS,
     DutyRow,
     StoreClock,
-    first_take,
-    may_take,
-    next_look,
+    earliest_takeover,
+    may_take_over,
+    next_check,
 )
 
 from .ports import OutOfReach, Platform, RowWrite
@@ -87,14 +87,14 @@
             clock = self._clock
             if (row is None or row.era != self._platform.era) and self._platform.era:
                 # What was granted before the return stands in no row.
-                first = first_take(self._era_since(), turn=self._turn)
+                first = earliest_takeover(self._era_since(), turn=self._turn)
                 if now < first:
                     self._look_at = first
                     return False
-            if not may_take(row, holder=self._holder, clock=clock, now=now, turn=self._turn):
+            if not may_take_over(row, holder=self._holder, clock=clock, now=now, turn=self._turn):
                 assert row is not None
                 # Readings until then would find the same, and take calls from all nodes.
-                self._look_at = next_look(row, clock=clock, turn=self._turn)
+                self._look_at = next_check(row, clock=clock, turn=self._turn)
                 return False
         return await self._write()
 
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -160,7 +160,7 @@
             raise TryFailed(detail, reason="status", reached=True, not_run=False)
         self._heard_first(call, choice, began)
         if head.status < 500:
-            tools.views.health.worked(name, asyncio.get_running_loop().time())
+            tools.views.health.succeeded(name, asyncio.get_running_loop().time())
         self._heard_weights(call, send, head)
         return _Run(choice, exchange, head, first, cutter, began, [])
 
@@ -362,7 +362,7 @@
         that reads them next would save none of them.
         """
         views = self._tools.views
-        views.memory.not_sent(engine, ordered.salt, ordered.kept, send=ordered.send)
+        views.memory.undo_send(engine, ordered.salt, ordered.kept, send=ordered.send)
         for part in ordered.saved:
             views.store_index.cancel_save(ordered.salt, part)
 
@@ -373,7 +373,7 @@
         views.workload.read(choice.instance.name, call.trace.key)
         self._tools.told()
         taken = now - began
-        views.pace.saw(
+        views.pace.observe(
             call.service.name,
             choice.instance.name,
             estimate=choice.work,
@@ -382,7 +382,7 @@
         late = taken - choice.seconds
         self._tools.metrics.estimate_error.observe(max(0.0, late))
         for store in {s.address for s in choice.fetch_plan.sources if s is not None}:
-            views.lateness.came(store, late, now)
+            views.lateness.observe(store, late, now)
 
     # --- learning -------------------------------------------------------------
 
@@ -400,7 +400,7 @@
         if failure.reason in ("not-started", "other-weights"):
             # Nodes nearby are told, so that they send elsewhere before they are turned away too.
             pause = min(views.pauses.left(name, now), _MOST_AVOID_SECONDS)
-            views.loading.note(name, now + max(pause, _AVOID_SECONDS))
+            views.loading.record_own(name, now + max(pause, _AVOID_SECONDS))
             return
         views.health.failed(name, now)
 
--- a/packages/node/src/fielddrift_node/serving/heartbeats.py
+++ b/packages/node/src/fielddrift_node/serving/heartbeats.py
@@ -64,7 +64,7 @@
             loading=views.loading.own(now),
             moves=views.links.own(now),
             kept=views.store_index.marks(now),
-            lateness=views.lateness.known(now),
+            lateness=views.lateness.own(now),
         )
 
     def _for_remote(self, heartbeat: Heartbeat, now: float) -> Heartbeat:
@@ -72,14 +72,14 @@
         views, neighbours = self._views, self._neighbours
         nodes = [node.name for node in neighbours.nearby_active(now)]
         size = neighbours.size(now)
-        burdens = views.workload.together(nodes, now)
+        burdens = views.workload.total(nodes, now)
         name = size_entry_name(neighbours.me.data_centre)
         burdens[name] = Burden(running=size.active, memory=size.alive)
         burdens |= self._marks()
         return heartbeat._replace(
             burdens=burdens,
-            loading=views.loading.nearby(now),
-            moves=views.links.together(nodes, now),
+            loading=views.loading.in_data_centre(now),
+            moves=views.links.total(nodes, now),
         )
 
     def heard(self, heartbeat: Heartbeat) -> None:
@@ -97,17 +97,17 @@
         size = burdens.pop(size_entry_name(centre), None)
         if size is not None:
             self._neighbours.set_size(centre, DataCentreSize(size.running, size.memory))
-        if views.workload.told(teller, burdens, now):
+        if views.workload.update_node(teller, burdens, now):
             # Only then is there more room than before: who waits weighs all engines anew.
             views.rooms.changed()
         views.heard_ages(heartbeat.named_ages, now)
-        views.links.told(teller, heartbeat.moves, now)
-        views.lateness.told(heartbeat.lateness, now)
+        views.links.update_node(teller, heartbeat.moves, now)
+        views.lateness.merge_reported(heartbeat.lateness, now)
         for name in heartbeat.left:
             self._heard_left(name, heartbeat.node.name)
         for name, seconds in heartbeat.loading.items():
             until = now + min(seconds, _LONGEST_LOADING_SECONDS)
-            views.loading.told(name, until, remote=remote)
+            views.loading.record_reported(name, until, remote=remote)
         for instance, model, version in heartbeat.weights:
             if version > views.weights.get((instance, model), 0):
                 views.saw_weights(instance, model, version)
--- a/packages/node/src/fielddrift_node/serving/kept.py
+++ b/packages/node/src/fielddrift_node/serving/kept.py
@@ -62,7 +62,7 @@
     def _wait(self, store: str) -> float:
         if store not in self._waits:
             if self._lateness is None:
-                self._lateness = self._views.lateness.of_each(self._now)
+                self._lateness = self._views.lateness.by_store(self._now)
             queue = self._views.links.wait(store, self._now)
             self._waits[store] = queue + self._lateness.get(store, 0.0)
         return self._waits[store]
@@ -137,7 +137,7 @@
     ) -> tuple[str, ...]:
         """Return, for each part, the store that should keep it, empty for none."""
         store_index = self._views.store_index
-        lateness = self._views.lateness.of_each(now)
+        lateness = self._views.lateness.by_store(now)
         saves = []
         for part, source in zip(prompt.parts, sources, strict=True):
             store = None
--- a/packages/node/src/fielddrift_node/serving/named_rows.py
+++ b/packages/node/src/fielddrift_node/serving/named_rows.py
@@ -175,6 +175,6 @@
             _log.error("row of named weights not understood", row=row.key, error=str(error))
             times = {}
         self._saved[row.key] = _Saved(times, row.version)
-        self._views.named_times.restored(row.key, times, clock)
+        self._views.named_times.restore(row.key, times, clock)
         ages = {str(version): round(clock.clock - at, 3) for version, at in times.items()}
         _log.info("namings read", model=row.key, seconds=ages, row=version_of(row.version))
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -10,9 +10,9 @@
 import asyncio
 from typing import NamedTuple
 
-from fielddrift_core.candidates import MOST_WEIGHED, sample
+from fielddrift_core.candidates import MAX_CANDIDATES, sample
 from fielddrift_core.errors import ErrorKind, Ran, Refusal
-from fielddrift_core.overload import LATE_PART, come_back, is_crowded, return_after
+from fielddrift_core.overload import LATE_FRACTION, is_congested, refusal_delay, retry_delay
 from fielddrift_core.placement import (
     FAILING_RATE,
     EngineChoice,
@@ -23,7 +23,7 @@
 )
 from fielddrift_core.rollout import EngineWeights, seconds_to_begin
 from fielddrift_core.target_registry import Instance
-from fielddrift_core.waiting import Waiter, line_name
+from fielddrift_core.waiting import WaitingPrompt, queue_name
 from fielddrift_core.workload import Burden
 
 from .call import Call, Refused, Tools
@@ -78,7 +78,7 @@
         """Return the engine to send to now; raise `Refused`."""
         room = self._tools.views.rooms.of(call.service.name)
         rank = _RESUME_RANK if resumes else call.rank
-        if room.line.before(rank) == 0:
+        if room.line.count_ahead(rank) == 0:
             fitting = self._fitting(call, attempts.tried)
             if fitting is not None:
                 if not attempts.tried:
@@ -100,8 +100,10 @@
         assert prompt is not None and traits is not None
         views = self._tools.views
         now = asyncio.get_running_loop().time()
-        names = [line_name(call.service.name, r) for r in call.catalog.priorities if r <= call.rank]
-        ahead = sum(views.workload.at(name, now).memory for name in names)
+        names = [
+            queue_name(call.service.name, r) for r in call.catalog.priorities if r <= call.rank
+        ]
+        ahead = sum(views.workload.burden_of(name, now).memory for name in names)
         engines = len(views.registry.serving(call.service.name))
         return room.turnover.wait(ahead + prompt.tokens, engines * traits.memory)
 
@@ -114,7 +116,7 @@
         serving = self._tools.views.registry.serving(call.service.name)
         closed = self._tools.gate.soonest(serving, now)
         if closed is None:
-            back = return_after(patience=call.deadline - now, rng=self._tools.rng)
+            back = retry_delay(time_left=call.deadline - now, rng=self._tools.rng)
             detail = "no engine takes requests of this node"
             raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "closed"))
         return closed
@@ -125,11 +127,11 @@
         A prompt that takes long by itself is late at any time, and is taken all the same.
         """
         queue = wait + choice.prefill_seconds(choice.burden.unread)
-        back = come_back(
-            patience=call.ask.patience or call.deadline - call.began,
+        back = refusal_delay(
+            time_left=call.ask.patience or call.deadline - call.began,
             estimate=wait + choice.seconds,
-            aim=call.route.latency_goal,
-            crowded=is_crowded(queue=queue, aim=call.route.latency_goal),
+            latency_goal=call.route.latency_goal,
+            congested=is_congested(queue_seconds=queue, latency_goal=call.route.latency_goal),
             rng=self._tools.rng,
         )
         if back is None:
@@ -146,16 +148,16 @@
         prompt = call.ask.prompt
         assert prompt is not None
         aim, began = call.route.latency_goal, loop.time()
-        due = max(call.began + LATE_PART * aim - best.seconds, began + _LEAST_WAIT_PART * aim)
-        waiter = Waiter(call.trace.key, rank, due, prompt.tokens)
-        workload, name = self._tools.views.workload, line_name(call.service.name, rank)
+        due = max(call.began + LATE_FRACTION * aim - best.seconds, began + _LEAST_WAIT_PART * aim)
+        waiter = WaitingPrompt(call.trace.key, rank, due, prompt.tokens)
+        workload, name = self._tools.views.workload, queue_name(call.service.name, rank)
         room.line.add(waiter)
         workload.begin(name, waiter.request, 0, prompt.tokens)
         self._tools.told()
         try:
             while (left := due - loop.time()) > 0:
                 await room.turn(waiter, min(left, _LOOK_SECONDS))
-                if room.line.first() is not waiter:
+                if room.line.head() is not waiter:
                     continue
                 fitting = self._fitting(call, attempts.tried)
                 if fitting is not None:
@@ -175,7 +177,7 @@
                 raise attempts.exhausted()
             return best
         patience = call.deadline - asyncio.get_running_loop().time()
-        back = return_after(patience=patience, rng=self._tools.rng)
+        back = retry_delay(time_left=patience, rng=self._tools.rng)
         detail = f"no engine had room for {seconds:.2f} s"
         raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "no-room"))
 
@@ -184,7 +186,7 @@
     def _fitting(self, call: Call, tried: set[str]) -> EngineChoice | None:
         """Return the best engine that works and has room, None when there is none."""
         turnover = self._tools.views.rooms.of(call.service.name).turnover
-        part = turnover.room_part(call.rank, call.catalog.priorities)
+        part = turnover.send_limit(call.rank, call.catalog.priorities)
         return self._choose(call, tried, part=part, sends=True)
 
     def _choose(
@@ -215,7 +217,7 @@
         placeable = views.placeable(call.service.name, prompt.model, now)
         oldest = self._tools.settings.bounds.weights * _OLDEST_PART
         candidates = [
-            _Candidate(engine, instance, views.workload.at(engine.name, now))
+            _Candidate(engine, instance, views.workload.burden_of(engine.name, now))
             for engine in placeable.engines
             if engine.name not in tried and engine.outdated <= oldest
             if (instance := views.registry.get(engine.name)) is not None
@@ -228,7 +230,7 @@
             if call.rank > min(call.catalog.priorities, default=call.rank):
                 # What waits here leaves the reading of engines to more urgent prompts.
                 candidates = [c for c in candidates if self._reads_soon(call, c)]
-        elif len(candidates) > MOST_WEIGHED:
+        elif len(candidates) > MAX_CANDIDATES:
             candidates = self._working(candidates, now)
         weighed = sample(
             candidates,
@@ -238,7 +240,7 @@
         return [self._sight(call, c, lookup, placeable.soon, now) for c in weighed]
 
     def _reads_soon(self, call: Call, candidate: _Candidate) -> bool:
-        pace = self._tools.views.pace.of(call.service.name, candidate.engine.name)
+        pace = self._tools.views.pace.factor(call.service.name, candidate.engine.name)
         return can_prefill_soon(candidate.burden, pace)
 
     def _working(self, candidates: list[_Candidate], now: float) -> list[_Candidate]:
@@ -266,7 +268,7 @@
         engine, instance = candidate.engine, candidate.instance
         # A send of what may run once only cannot be made up for when it is called off.
         spare = 1.0 if call.route.repeatable else FIRST_EVENT_ESTIMATES
-        left = seconds_to_begin(engine.outdated, bound=self._tools.settings.bounds.weights)
+        left = seconds_to_begin(engine.outdated, max_outdated=self._tools.settings.bounds.weights)
         return EngineState(
             instance=instance,
             burden=candidate.burden,
@@ -277,5 +279,5 @@
             loads_next=instance.name in soon,
             left=left / spare,
             weights=engine.weights,
-            slowdown=views.pace.of(call.service.name, instance.name),
+            slowdown=views.pace.factor(call.service.name, instance.name),
         )
--- a/packages/node/src/fielddrift_node/serving/plain.py
+++ b/packages/node/src/fielddrift_node/serving/plain.py
@@ -49,7 +49,9 @@
         views = self._tools.views
         now = asyncio.get_running_loop().time()
         sights = [
-            PlainTargetState(i, views.workload.at(i.name, now), views.health.share(i.name, now))
+            PlainTargetState(
+                i, views.workload.burden_of(i.name, now), views.health.share(i.name, now)
+            )
             for i in views.registry.serving(call.service.name)
             if self._tools.gate.allows(call.service, i, now)
         ]
@@ -88,7 +90,7 @@
                 detail = f"target {instance.name}: status {head.status}"
                 raise TryFailed(detail, reason="status", reached=True, not_run=False)
         else:
-            views.health.worked(instance.name, loop.time())
+            views.health.succeeded(instance.name, loop.time())
         return head, body
 
     async def _exchange(self, call: Call, send: Send) -> tuple[ResponseHead, bytes]:
--- a/packages/node/src/fielddrift_node/serving/rollout_runner.py
+++ b/packages/node/src/fielddrift_node/serving/rollout_runner.py
@@ -174,7 +174,7 @@
 
     def _begin(self, work: _Work, now: float) -> None:
         longest = _LATE_PART * self._weights_seconds
-        for name in next_loads(work.engines, wanted=work.wanted, longest=longest):
+        for name in next_loads(work.engines, wanted=work.wanted, max_outdated=longest):
             task = asyncio.ensure_future(self._bring(name, work.model, work.wanted))
             self._under_way[name] = task
             task.add_done_callback(partial(self._ended, name))
@@ -201,7 +201,7 @@
             if self._views.pauses.left(name, loop.time()):
                 await asyncio.sleep(_REPORT_SECONDS)
                 continue
-            self._views.loading.note(name, loop.time() + _ANNOUNCED_SECONDS)
+            self._views.loading.record_own(name, loop.time() + _ANNOUNCED_SECONDS)
             self._announce()
             await asyncio.sleep(_ANNOUNCE_LEAD)
             report = await self._report(name)
--- a/packages/node/src/fielddrift_node/serving/rooms.py
+++ b/packages/node/src/fielddrift_node/serving/rooms.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from fielddrift_core.waiting import Line, Turnover, Waiter
+from fielddrift_core.waiting import MemoryTurnover, PromptQueue, WaitingPrompt
 
 __all__ = ["Room", "Rooms"]
 
@@ -14,11 +14,11 @@
     """The line before one service's engines, and how fast their memory turns over."""
 
     def __init__(self) -> None:
-        self.line = Line()
-        self.turnover = Turnover()
+        self.line = PromptQueue()
+        self.turnover = MemoryTurnover()
         self._woken: dict[int, asyncio.Event] = {}
 
-    async def turn(self, waiter: Waiter, seconds: float) -> None:
+    async def turn(self, waiter: WaitingPrompt, seconds: float) -> None:
         """Wait until it may be the turn of `waiter`, for `seconds` at most."""
         event = self._woken[id(waiter)] = asyncio.Event()
         try:
@@ -30,7 +30,7 @@
 
     def wake(self) -> None:
         """Let whoever is first look for room."""
-        first = self.line.first()
+        first = self.line.head()
         if first is not None and id(first) in self._woken:
             self._woken[id(first)].set()
 
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -74,8 +74,8 @@
         now = asyncio.get_running_loop().time()
         budget = self._tools.budget(self._call.service.name)
         if self._reached == 0:
-            budget.first(now)
-        elif not budget.take(now, nodes=self._tools.views.nodes):
+            budget.record_first(now)
+        elif not budget.spend(now, nodes=self._tools.views.nodes):
             raise Refused(self._refusal("repeated sends are used up", None))
         self._tools.gate.sent(instance, now)
         self._tools.metrics.sends.inc()
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -15,13 +15,13 @@
 from fielddrift_core.linkqueue import LinkQueue
 from fielddrift_core.loading import LoadingEngines
 from fielddrift_core.memory import EngineMemory
-from fielddrift_core.pace import Pace
+from fielddrift_core.pace import EngineSlowdowns
 from fielddrift_core.readers import OPERATORS_POLL_SECONDS, ReadState
-from fielddrift_core.rollout import EngineWeights, NamedTimes, Naming, VersionAge, soon_loading
+from fielddrift_core.rollout import EngineWeights, Naming, NamingTimes, VersionAge, upcoming_loads
 from fielddrift_core.store_index import StoreIndex
 from fielddrift_core.target_notices import TargetLimits, TargetPauses
 from fielddrift_core.target_registry import Instance, TargetRegistry
-from fielddrift_core.urgency import Waits
+from fielddrift_core.urgency import CallerWaits
 from fielddrift_core.workload import Lateness, PeakRate, TargetHealth, Workload
 
 from .ports import NamedWeights
@@ -73,7 +73,7 @@
         """Loop time at which this node itself last read the targets' entries."""
         self.named: dict[str, int] = {}
         """The newest named weights by model."""
-        self.named_times = NamedTimes()
+        self.named_times = NamingTimes()
         self.registry = TargetRegistry()
         self.evacuations = Evacuations()
         self.cold = ColdSends()
@@ -85,7 +85,7 @@
         self.links = LinkQueue()
         self.lateness = Lateness()
         self.memory = EngineMemory()
-        self.pace = Pace()
+        self.pace = EngineSlowdowns()
         self.loading = LoadingEngines()
         self.rooms = Rooms()
         self.crashes = CrashHistory()
@@ -100,7 +100,7 @@
         """Callers' requests that this node takes."""
         self.prompts = PeakRate()
         """Those of them that engines serve."""
-        self.waits = Waits()
+        self.waits = CallerWaits()
         """How long callers have waited already."""
         self._weights_seen = 0
         self._placeable: dict[tuple[str, str], Placeable] = {}
@@ -180,11 +180,11 @@
 
     def outdating(self, model: str, weights: int) -> Naming | None:
         """Return the first naming that outdated `weights`, None when they are the newest."""
-        return self.named_times.outdating(model, weights)
+        return self.named_times.first_newer(model, weights)
 
     def known_seconds(self, model: str, version: int, now: float) -> float:
         """Return for how long `version` has been known to anyone, 0 when it is not."""
-        at = self.named_times.at(model, version)
+        at = self.named_times.named_at(model, version)
         return 0.0 if at is None else now - at
 
     def engines(self, service: str, model: str, now: float) -> list[EngineWeights]:
@@ -220,7 +220,7 @@
         known = self._placeable.get((service, model))
         if known is None or known.state != state or now - known.at > _PLACEABLE_SECONDS:
             engines = self.engines(service, model, now)
-            soon = soon_loading(engines, wanted=named)
+            soon = upcoming_loads(engines, wanted=named)
             known = self._placeable[(service, model)] = Placeable(state, now, engines, soon)
         return known
 
--- a/packages/node/src/fielddrift_node/stores.py
+++ b/packages/node/src/fielddrift_node/stores.py
@@ -12,11 +12,11 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from fielddrift_core.holding import Held
+from fielddrift_core.holding import StoredPrefix
 from fielddrift_core.interfaces import ExternalSystemError
 from fielddrift_core.model import Configuration, StoreHost
 from fielddrift_core.names import Manifest, ManifestPart, PrefixName, rank
-from fielddrift_core.retries import Breaker
+from fielddrift_core.retries import CircuitBreaker
 
 from . import clock
 from .http_client import Call, HttpClient
@@ -54,7 +54,7 @@
 
 
 class _HeldList(msgspec.Struct):
-    held: list[Held]
+    held: list[StoredPrefix]
 
 
 def placement(configuration: Configuration, folder: str) -> list[StoreHost]:
@@ -84,9 +84,9 @@
         """Take a manifest away if it is still that attempt's; False when not."""
         return self._send("DELETE", f"manifests/{path}?attempt={attempt}") != 409
 
-    def held(self) -> list[Held]:
+    def held(self) -> list[StoredPrefix]:
         """Return all kept prefixes."""
-        held: list[Held] = self._get("held", _HeldList, 5.0).held
+        held: list[StoredPrefix] = self._get("held", _HeldList, 5.0).held
         return held
 
     def parts(self) -> list[str]:
@@ -128,7 +128,7 @@
     def __init__(self, *, http: HttpClient, pool: ThreadPoolExecutor) -> None:
         self._http = http
         self._pool = pool
-        self._breakers: dict[str, Breaker] = {}
+        self._breakers: dict[str, CircuitBreaker] = {}
 
     def client(self, store: StoreHost) -> StoreClient:
         """Return the client of one store host."""
@@ -179,8 +179,8 @@
         except (FutureTimeout, ExternalSystemError):
             return []
 
-    def _breaker(self, store: StoreHost) -> Breaker:
-        return self._breakers.setdefault(store.name, Breaker())
+    def _breaker(self, store: StoreHost) -> CircuitBreaker:
+        return self._breakers.setdefault(store.name, CircuitBreaker())
 
 
 def _fits(manifest: Manifest, digests: list[str]) -> bool:
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -5,7 +5,7 @@
 import unittest
 
 from fielddrift_core.model import Configuration, Target, TargetRole
-from fielddrift_core.retries import BREAK_AFTER
+from fielddrift_core.retries import FAILURE_THRESHOLD
 from fielddrift_core.routing import Load
 from fielddrift_node.board import Board
 
@@ -74,7 +74,7 @@
         self.assertFalse(self.board.takes(TARGET, "v2"))
 
     def test_a_failing_target_rests_and_is_probed_by_one(self) -> None:
-        for _ in range(BREAK_AFTER):
+        for _ in range(FAILURE_THRESHOLD):
             self.board.failed("t")
         self.assertFalse(self.board.takes(TARGET, "v1"))
         self.now += 1.0
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -12,11 +12,11 @@
 from unittest import mock
 
 from fielddrift_core import placement
-from fielddrift_core.candidates import MOST_WEIGHED, sample
+from fielddrift_core.candidates import MAX_CANDIDATES, sample
 from fielddrift_core.linkqueue import LinkQueue
 from fielddrift_core.placement import EngineChoice
 from fielddrift_core.target_registry import Instance
-from fielddrift_core.workload import TOLD_SECONDS, Burden, Lateness, Workload
+from fielddrift_core.workload import REPORT_TTL_SECONDS, Burden, Lateness, Workload
 from fielddrift_node.serving.trying import Attempts
 from hypothesis import given
 from hypothesis import strategies as st
@@ -34,7 +34,7 @@
 class TestChoice(unittest.IsolatedAsyncioTestCase):
     async def test_lateness_is_worked_out_once(self) -> None:
         with mock.patch.object(
-            Lateness, "of_each", autospec=True, side_effect=Lateness.of_each
+            Lateness, "by_store", autospec=True, side_effect=Lateness.by_store
         ) as asked:
             await _choose(_LARGE)
         self.assertEqual(asked.call_count, 1)
@@ -56,7 +56,7 @@
             ):
                 await _choose(_LARGE._replace(engines=engines))
                 # With what stores keep, and without.
-                self.assertLessEqual(priced.call_count, 2 * MOST_WEIGHED)
+                self.assertLessEqual(priced.call_count, 2 * MAX_CANDIDATES)
 
     async def test_an_engine_far_from_all_others_is_found_when_only_it_has_room(self) -> None:
         placing, tools, call = placing_of(_LARGE)
@@ -80,20 +80,20 @@
 
 class TestSample(unittest.TestCase):
     def test_few_engines_are_all_weighed(self) -> None:
-        engines = [Instance(f"e{n}", "s", "h:1", "a") for n in range(MOST_WEIGHED)]
+        engines = [Instance(f"e{n}", "s", "h:1", "a") for n in range(MAX_CANDIDATES)]
         self.assertEqual(sample(engines, data_centre="a", rng=mock.Mock()), engines)
 
     def test_most_are_near_and_none_comes_twice(self) -> None:
         engines = [Instance(f"e{n}", "s", "h:1", f"dc{n % 4}") for n in range(400)]
         chosen = sample(engines, data_centre="dc1", rng=random.Random(1))
-        self.assertEqual(len({e.name for e in chosen}), MOST_WEIGHED)
+        self.assertEqual(len({e.name for e in chosen}), MAX_CANDIDATES)
         near = sum(e.data_centre == "dc1" for e in chosen)
-        self.assertEqual(near, MOST_WEIGHED * 3 // 4)
+        self.assertEqual(near, MAX_CANDIDATES * 3 // 4)
 
     def test_where_all_are_far_the_sample_is_full(self) -> None:
         engines = [Instance(f"e{n}", "s", "h:1", "b") for n in range(100)]
         chosen = sample(engines, data_centre="a", rng=random.Random(1))
-        self.assertEqual(len(chosen), MOST_WEIGHED)
+        self.assertEqual(len(chosen), MAX_CANDIDATES)
 
 
 _NODES = st.sampled_from(["n1", "n2", "n3"])
@@ -104,7 +104,7 @@
         st.tuples(st.just("told"), _NODES, st.dictionaries(_TARGETS, _BURDENS)),
         st.tuples(st.just("begin"), _TARGETS, st.sampled_from(["r1", "r2"])),
         st.tuples(st.just("end"), _TARGETS, st.sampled_from(["r1", "r2"])),
-        st.tuples(st.just("pass"), st.floats(0, 2 * TOLD_SECONDS), st.none()),
+        st.tuples(st.just("pass"), st.floats(0, 2 * REPORT_TTL_SECONDS), st.none()),
     ),
     max_size=30,
 )
@@ -118,7 +118,7 @@
         runs: set[tuple[str, str]] = set()
         for kind, first, second in steps:
             if kind == "told":
-                workload.told(first, second, now)
+                workload.update_node(first, second, now)
                 told[first] = (now, second)
             elif kind == "begin":
                 workload.begin(first, second, 2, 5)
@@ -132,16 +132,16 @@
                 own = sum(name == target for name, _ in runs)
                 expected = Burden(own, 2 * own, 5 * own)
                 for at, burdens in told.values():
-                    if now - at <= TOLD_SECONDS:
+                    if now - at <= REPORT_TTL_SECONDS:
                         expected = expected + burdens.get(target, Burden())
-                self.assertEqual(workload.at(target, now), expected)
+                self.assertEqual(workload.burden_of(target, now), expected)
 
     def test_a_target_with_less_to_do_is_noticed(self) -> None:
         workload = Workload()
-        self.assertFalse(workload.told("n", {"e": Burden(1, 0, 900)}, 0.0))
-        self.assertFalse(workload.told("n", {"e": Burden(2, 0, 950)}, 0.1))
-        self.assertTrue(workload.told("n", {"e": Burden(1, 0, 50)}, 0.2))
-        self.assertTrue(workload.told("n", {}, 0.3))
+        self.assertFalse(workload.update_node("n", {"e": Burden(1, 0, 900)}, 0.0))
+        self.assertFalse(workload.update_node("n", {"e": Burden(2, 0, 950)}, 0.1))
+        self.assertTrue(workload.update_node("n", {"e": Burden(1, 0, 50)}, 0.2))
+        self.assertTrue(workload.update_node("n", {}, 0.3))
 
     @given(st.dictionaries(st.sampled_from("abcd"), st.floats(0, 2), min_size=0, max_size=4))
     def test_lateness_is_what_comparing_each_with_the_others_gives(
@@ -149,13 +149,13 @@
     ) -> None:
         lateness = Lateness()
         for store, seconds in seen.items():
-            lateness.came(store, seconds, 0.0)
-        known = lateness.known(0.0)
+            lateness.observe(store, seconds, 0.0)
+        known = lateness.own(0.0)
         for store in seen:
             others = [late for other, late in known.items() if other != store]
             expected = max(0.0, known[store] - min(others, default=0.0))
-            self.assertAlmostEqual(lateness.of_each(0.0)[store], expected)
-            self.assertAlmostEqual(lateness.of(store, 0.0), expected)
+            self.assertAlmostEqual(lateness.by_store(0.0)[store], expected)
+            self.assertAlmostEqual(lateness.for_store(store, 0.0), expected)
 
 
 if __name__ == "__main__":
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,14 +9,14 @@
 
 from fielddrift_core.admission import Admission
 from fielddrift_core.errors import ErrorKind, Ran
-from fielddrift_core.holding import Held, plan, should_keep, value
-from fielddrift_core.links import FADE_SECONDS, Link
+from fielddrift_core.holding import StoredPrefix, plan_tiers, should_export, value
+from fielddrift_core.links import RECOVERY_SECONDS, Link
 from fielddrift_core.model import CostWeights, HoldRule, Target, TargetRole
 from fielddrift_core.retries import (
-    BREAK_AFTER,
-    FIRST_REST,
-    Breaker,
+    FAILURE_THRESHOLD,
+    FIRST_OPEN_SECONDS,
     BreakerState,
+    CircuitBreaker,
     RetryBudget,
     backoff,
 )
@@ -135,9 +135,9 @@
 
 class AdmissionTest(unittest.TestCase):
     def _check(self, admission: Admission, customer: str, **more: float) -> ErrorKind | None:
-        fields = {"ttft": 0.2, "wait": 0.0, "patience": 5.0, "now": 0.0, **more}
+        fields = {"ttft": 0.2, "wait": 0.0, "ttft_limit": 5.0, "now": 0.0, **more}
         refusal = admission.check(
-            customer=customer, share=1.0, tokens=8000, room_rate=100_000.0, **fields
+            customer=customer, share=1.0, tokens=8000, capacity_rate=100_000.0, **fields
         )
         if refusal is not None:
             self.assertIs(refusal.ran, Ran.NO)
@@ -173,8 +173,8 @@
                 tokens=8000,
                 ttft=9.0,
                 wait=8.0,
-                patience=5.0,
-                room_rate=100_000.0,
+                ttft_limit=5.0,
+                capacity_rate=100_000.0,
                 now=0.0,
             )
             assert refusal is not None
@@ -188,12 +188,12 @@
             "tokens": 8000,
             "ttft": 3.0,
             "wait": 1.0,
-            "patience": 5.0,
-            "room_rate": 1e5,
+            "ttft_limit": 5.0,
+            "capacity_rate": 1e5,
             "now": 0.0,
         }
         self.assertIsNotNone(Admission().check(**fields))  # type: ignore[arg-type]
-        self.assertIsNone(Admission().check(**fields, returning=True))  # type: ignore[arg-type]
+        self.assertIsNone(Admission().check(**fields, is_retry=True))  # type: ignore[arg-type]
 
 
 class TicketsTest(unittest.TestCase):
@@ -220,8 +220,8 @@
         budget = RetryBudget()
         taken = 0
         for _ in range(1000):
-            budget.first_try()
-            taken += budget.take()
+            budget.record_first_try()
+            taken += budget.spend()
         self.assertLessEqual(taken, 0.1 * 1000 + 3)
 
     def test_a_wait_never_passes_the_deadline(self) -> None:
@@ -231,16 +231,16 @@
             self.assertTrue(wait is None or wait < 0.3)
 
     def test_a_breaker_opens_probes_once_and_closes(self) -> None:
-        breaker = Breaker()
-        for _ in range(BREAK_AFTER):
+        breaker = CircuitBreaker()
+        for _ in range(FAILURE_THRESHOLD):
             self.assertTrue(breaker.allows(0.0))
             breaker.failed(0.0)
-        self.assertFalse(breaker.allows(FIRST_REST / 2))
-        self.assertIs(breaker.state(FIRST_REST), BreakerState.PROBING)
-        breaker.sent(FIRST_REST)
-        self.assertFalse(breaker.allows(FIRST_REST))
+        self.assertFalse(breaker.allows(FIRST_OPEN_SECONDS / 2))
+        self.assertIs(breaker.state(FIRST_OPEN_SECONDS), BreakerState.PROBING)
+        breaker.sent(FIRST_OPEN_SECONDS)
+        self.assertFalse(breaker.allows(FIRST_OPEN_SECONDS))
         breaker.succeeded()
-        self.assertTrue(breaker.allows(FIRST_REST))
+        self.assertTrue(breaker.allows(FIRST_OPEN_SECONDS))
 
 
 class LinkTest(unittest.TestCase):
@@ -255,7 +255,7 @@
             link.begin_import(number, 1000, 10.0 * number)
             link.end_import(number, 10.0 * number + 10.0, 10.0)
         self.assertLess(link.rate(60.0), 250.0)
-        self.assertGreater(link.rate(60.0 + 5 * FADE_SECONDS), 950.0)
+        self.assertGreater(link.rate(60.0 + 5 * RECOVERY_SECONDS), 950.0)
 
     def test_what_is_ahead_is_not_taken_for_slowness(self) -> None:
         link = Link(rate=1000.0)
@@ -286,34 +286,34 @@
 class HoldingTest(unittest.TestCase):
     RULES = {"a": HoldRule("a", 3600.0, 0.8), "b": HoldRule("b", 3600.0, 0.1)}
 
-    def _held(self, name: str, customer: str, idle: float, tier: str = "memory") -> Held:
-        return Held(name, "x", customer, 10, 1000, idle, tier)
+    def _held(self, name: str, customer: str, idle: float, tier: str = "memory") -> StoredPrefix:
+        return StoredPrefix(name, "x", customer, 10, 1000, idle, tier)
 
     def test_the_least_worthy_goes_to_disk_first(self) -> None:
         held = [self._held(f"a{n}", "a", 10.0) for n in range(5)]
         held += [self._held(f"b{n}", "b", 10.0) for n in range(5)]
-        done = plan(held, rules=self.RULES, memory=8000, disk=10**6, week_second=0.0)
+        done = plan_tiers(held, rules=self.RULES, memory=8000, disk=10**6, week_second=0.0)
         self.assertTrue(done.demote)
         self.assertEqual({h.customer for h in done.demote}, {"b"})
         self.assertEqual(done.free, ())
 
     def test_what_is_past_its_rule_is_freed(self) -> None:
         held = [self._held("old", "a", 4000.0), self._held("young", "a", 10.0)]
-        done = plan(held, rules=self.RULES, memory=10**6, disk=10**6, week_second=0.0)
+        done = plan_tiers(held, rules=self.RULES, memory=10**6, disk=10**6, week_second=0.0)
         self.assertEqual([h.path for h in done.free], ["old"])
 
     def test_ahead_of_a_known_rush_the_disk_is_emptied_into_memory(self) -> None:
         rules = {"a": HoldRule("a", 3600.0, 0.8, rush=10_000.0)}
         held = [self._held("squad", "a", 100_000.0, tier="disk")]
-        before = plan(held, rules=rules, memory=10**6, disk=10**6, week_second=0.0)
-        near = plan(held, rules=rules, memory=10**6, disk=10**6, week_second=9_000.0)
+        before = plan_tiers(held, rules=rules, memory=10**6, disk=10**6, week_second=0.0)
+        near = plan_tiers(held, rules=rules, memory=10**6, disk=10**6, week_second=9_000.0)
         self.assertEqual([h.path for h in before.free], ["squad"])
         self.assertEqual([h.path for h in near.promote], ["squad"])
         self.assertGreater(value(held[0], rules["a"], 9_000.0), 0)
 
     def test_what_is_nearly_kept_is_not_exported_again(self) -> None:
-        self.assertFalse(should_keep(rule=None, blocks=100, kept=90))
-        self.assertTrue(should_keep(rule=None, blocks=100, kept=10))
+        self.assertFalse(should_export(rule=None, blocks=100, kept=90))
+        self.assertTrue(should_export(rule=None, blocks=100, kept=10))
 
 
 class BenchTest(unittest.TestCase):
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -17,7 +17,7 @@
 from fielddrift_core.memory import EngineMemory
 from fielddrift_core.prompt import Part
 from fielddrift_core.stream import EventFramer
-from fielddrift_core.waiting import Line, Waiter
+from fielddrift_core.waiting import PromptQueue, WaitingPrompt
 from fielddrift_node.serving.ports import TargetNews
 from fielddrift_node.web.client import Client, Timeouts, _Connection
 from fielddrift_node.web.messages import Headers
@@ -194,7 +194,7 @@
         """One prompt was turned away; the other, sent meanwhile, runs and holds the part."""
         memory, part = EngineMemory(), Part("aa", 100)
         first, _ = (memory.sent("e1", "m.1.", [part], 40_000) for _ in range(2))
-        memory.not_sent("e1", "m.1.", ["aa"], send=first)
+        memory.undo_send("e1", "m.1.", ["aa"], send=first)
         self.assertEqual(memory.parts("e1", "m.1."), {"aa"})
 
 
@@ -221,13 +221,13 @@
 class LineTest(unittest.TestCase):
     def test_a_prompt_that_leaves_takes_no_other_one_along(self) -> None:
         """Two callers chose one id, or one sent again while its first connection hung."""
-        line = Line()
-        first, second = Waiter("r1", 1, 5.0, 100), Waiter("r1", 1, 6.0, 100)
+        line = PromptQueue()
+        first, second = WaitingPrompt("r1", 1, 5.0, 100), WaitingPrompt("r1", 1, 6.0, 100)
         line.add(first)
         line.add(second)
-        self.assertIs(line.first(), first)
+        self.assertIs(line.head(), first)
         line.remove(first)
-        self.assertIs(line.first(), second)
+        self.assertIs(line.head(), second)
 
 
 # --- connections ----------------------------------------------------------------
--- a/tests/test_limit_share.py
+++ b/tests/test_limit_share.py
@@ -248,7 +248,7 @@
         heartbeat = self.teller.translator.heartbeat(Relation(True, True, True), leaving=False)
         self.hearer.translator.heard(heartbeat)
         now = asyncio.get_running_loop().time()
-        self.assertEqual(self.hearer.views.workload.together(["n1"], now), {})
+        self.assertEqual(self.hearer.views.workload.total(["n1"], now), {})
 
     async def test_words_that_a_relay_of_the_release_before_added_up_are_dropped(self) -> None:
         heartbeat = self.teller.translator.heartbeat(Relation(True, True, True), leaving=False)
--- a/tests/test_named_rows.py
+++ b/tests/test_named_rows.py
@@ -9,7 +9,7 @@
 
 import msgspec
 from fielddrift_core.catalog import Catalog
-from fielddrift_core.rollout import NamedTimes, StoreClock, times_to_save
+from fielddrift_core.rollout import NamingTimes, StoreClock, times_to_save
 from fielddrift_node.serving.named_rows import TABLE, NamedRows
 from fielddrift_node.serving.ports import NamedWeights, Outcome, OutOfReach, RowWrite, SavedRow
 from fielddrift_node.serving.views import Views
@@ -281,9 +281,9 @@
         self.assertLessEqual(saved[2], named + 1e-6)
         asked = named + later
         other = StoreClock(asked + later_out, asked + skew, asked + skew + later_out + later_back)
-        times = NamedTimes()
-        times.restored("m", saved, other)
-        at = times.at("m", 2)
+        times = NamingTimes()
+        times.restore("m", saved, other)
+        at = times.named_at("m", 2)
         assert at is not None
         self.assertLessEqual(at - skew, named + 1e-6)
         self.assertGreaterEqual(at - skew, named - back - later_out - 1e-6)
@@ -300,6 +300,6 @@
     def test_a_slow_reading_does_not_move_what_is_saved(self) -> None:
         saved = {2: 100.0}
         clock = StoreClock(105.0, 10.0, 11.4)
-        times = NamedTimes()
-        times.restored("m", saved, clock)
+        times = NamingTimes()
+        times.restore("m", saved, clock)
         self.assertIsNone(times_to_save(times.newest("m"), saved=saved, clock=clock))
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -7,7 +7,7 @@
 import unittest
 
 from fielddrift_core.catalog import EngineTraits
-from fielddrift_core.pace import Pace
+from fielddrift_core.pace import EngineSlowdowns
 from fielddrift_core.placement import PREFILL_TOKENS_PER_SECOND, EngineState, choose_engine
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_registry import Instance
@@ -40,28 +40,30 @@
 
 class TestPace(unittest.TestCase):
     def test_nothing_seen_is_the_usual_pace(self) -> None:
-        self.assertEqual(Pace().of("s", "e"), 1.0)
+        self.assertEqual(EngineSlowdowns().factor("s", "e"), 1.0)
 
     def test_a_service_that_is_slow_as_a_whole_is_known_for_engines_never_seen(self) -> None:
-        pace = Pace()
+        pace = EngineSlowdowns()
         for number in range(150):
-            pace.saw("s", f"e{number % 10}", estimate=0.1, seconds=0.2)
-        self.assertAlmostEqual(pace.of("s", "new"), 2.0, delta=0.4)
-        self.assertEqual(pace.of("other", "e"), 1.0)
+            pace.observe("s", f"e{number % 10}", estimate=0.1, seconds=0.2)
+        self.assertAlmostEqual(pace.factor("s", "new"), 2.0, delta=0.4)
+        self.assertEqual(pace.factor("other", "e"), 1.0)
 
     def test_one_slow_engine_among_usual_ones_is_told_apart(self) -> None:
-        pace, rng = Pace(), random.Random(1)
+        pace, rng = EngineSlowdowns(), random.Random(1)
         for _ in range(1500):
             number = rng.randrange(10)
             noise = math.exp(rng.gauss(0.0, 0.5))
-            pace.saw("s", f"e{number}", estimate=0.1, seconds=noise * (0.3 if number == 0 else 0.1))
-        self.assertGreater(pace.of("s", "e0"), 1.9 * pace.of("s", "e1"))
-        self.assertAlmostEqual(pace.of("s", "e1"), 1.0, delta=0.4)
+            pace.observe(
+                "s", f"e{number}", estimate=0.1, seconds=noise * (0.3 if number == 0 else 0.1)
+            )
+        self.assertGreater(pace.factor("s", "e0"), 1.9 * pace.factor("s", "e1"))
+        self.assertAlmostEqual(pace.factor("s", "e1"), 1.0, delta=0.4)
 
     def test_one_that_hung_counts_little(self) -> None:
-        pace = Pace()
-        pace.saw("s", "e", estimate=0.05, seconds=30.0)
-        self.assertLess(pace.of("s", "e"), 1.3)
+        pace = EngineSlowdowns()
+        pace.observe("s", "e", estimate=0.05, seconds=30.0)
+        self.assertLess(pace.factor("s", "e"), 1.3)
 
     def test_an_engine_at_half_speed_is_estimated_and_avoided_so(self) -> None:
         prompt = Prompt("m", (Part("a", 9000), Part("own", 1000)), 10_000, 20)
--- a/tests/test_platform_decisions.py
+++ b/tests/test_platform_decisions.py
@@ -7,7 +7,7 @@
 
 from fielddrift_core.linkqueue import LinkQueue
 from fielddrift_core.memory import EngineMemory
-from fielddrift_core.overload import come_back, is_crowded
+from fielddrift_core.overload import is_congested, refusal_delay
 from fielddrift_core.prompt import Part
 from fielddrift_core.retries import WindowBudget
 from fielddrift_core.stream import EventFramer
@@ -57,9 +57,9 @@
         for number, (node, wait) in enumerate(steps):
             now += wait
             if number % 2:
-                nodes[node].first(now)
+                nodes[node].record_first(now)
                 firsts.append(now)
-            elif nodes[node].take(now, nodes=3):
+            elif nodes[node].spend(now, nodes=3):
                 repeats.append(now)
         for end in repeats:
             window = sum(end - 10.0 < at <= end for at in repeats)
@@ -76,8 +76,8 @@
     def _judge(
         self, estimate: float, *, patience: float = 4.0, crowded: bool = True
     ) -> float | None:
-        return come_back(
-            patience=patience, estimate=estimate, aim=0.5, crowded=crowded, rng=self.rng
+        return refusal_delay(
+            time_left=patience, estimate=estimate, latency_goal=0.5, congested=crowded, rng=self.rng
         )
 
     def test_what_can_be_in_time_is_taken(self) -> None:
@@ -87,8 +87,8 @@
         self.assertIsNone(self._judge(0.9, crowded=False))
 
     def test_a_prompt_that_is_late_by_itself_is_not_sent_away_for_a_few_others(self) -> None:
-        self.assertFalse(is_crowded(queue=0.05, aim=0.5))
-        self.assertTrue(is_crowded(queue=0.3, aim=0.5))
+        self.assertFalse(is_congested(queue_seconds=0.05, latency_goal=0.5))
+        self.assertTrue(is_congested(queue_seconds=0.3, latency_goal=0.5))
 
     def test_one_that_would_be_late_comes_back_within_its_patience(self) -> None:
         backs = [self._judge(1.2) or 0.0 for _ in range(50)]
@@ -101,9 +101,9 @@
     def test_what_others_told_fades(self) -> None:
         work = Workload()
         work.begin("e", "r", 100, 200)
-        work.told("n", {"e": Burden(2, 300, 400)}, 0.0)
-        self.assertEqual(work.at("e", 0.5), Burden(3, 400, 600))
-        self.assertEqual(work.at("e", 9.0), Burden(1, 100, 200))
+        work.update_node("n", {"e": Burden(2, 300, 400)}, 0.0)
+        self.assertEqual(work.burden_of("e", 0.5), Burden(3, 400, 600))
+        self.assertEqual(work.burden_of("e", 9.0), Burden(1, 100, 200))
         work.read("e", "r")
         work.end("e", "r")
         self.assertEqual(work.own(), {})
@@ -112,25 +112,25 @@
         queue = LinkQueue()
         queue.add("s", 0.2, 0.0)
         queue.add("s", 0.1, 0.0)
-        queue.told("n", {"s": 0.4}, 0.0)
+        queue.update_node("n", {"s": 0.4}, 0.0)
         self.assertAlmostEqual(queue.wait("s", 0.0), 0.7)
         self.assertAlmostEqual(queue.wait("s", 0.1), 0.5)
         self.assertEqual(queue.wait("s", 5.0), 0.0)
 
     def test_lateness_that_all_stores_share_is_not_a_link_s(self) -> None:
         late = Lateness()
-        late.came("s1", 0.5, 0.0)
-        late.came("s2", 0.5, 0.0)
-        self.assertEqual(late.of("s1", 0.0), 0.0)
-        late.came("s1", 2.0, 0.0)
-        self.assertGreater(late.of("s1", 0.0), 0.3)
-        self.assertLess(late.of("s1", 20.0), 0.01)
+        late.observe("s1", 0.5, 0.0)
+        late.observe("s2", 0.5, 0.0)
+        self.assertEqual(late.for_store("s1", 0.0), 0.0)
+        late.observe("s1", 2.0, 0.0)
+        self.assertGreater(late.for_store("s1", 0.0), 0.3)
+        self.assertLess(late.for_store("s1", 20.0), 0.01)
 
     def test_failures_fade_and_answers_count_against_them(self) -> None:
         health = TargetHealth()
         health.failed("t", 0.0)
         before = health.share("t", 0.0)
-        health.worked("t", 0.0)
+        health.succeeded("t", 0.0)
         self.assertLess(health.share("t", 0.0), before)
         self.assertLess(health.share("t", 60.0), 0.001)
 
--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -177,12 +177,12 @@
     async def test_what_cannot_be_in_time_is_sent_away_at_once_and_has_not_run(self) -> None:
         crowd = {name: Burden(20, 200_000, 100_000) for name in ("e1", "e2")}
         now = asyncio.get_running_loop().time()
-        self.node.node.views.workload.told("another-node", crowd, now)
+        self.node.node.views.workload.update_node("another-node", crowd, now)
         answer = await ask(self.node, "/chat/x", **prompt())
         self.assertEqual(answer.status, 503)
         self.assertLessEqual(float(answer.headers["retry-after"]), 1.0)
         self.assertEqual(self.one.ran + self.two.ran, [])
-        self.node.node.views.workload.told("another-node", {}, now)
+        self.node.node.views.workload.update_node("another-node", {}, now)
         self.assertEqual((await ask(self.node, "/chat/x", **prompt())).status, 200)
 
     async def test_a_cut_run_goes_on_elsewhere_behind_the_last_whole_event(self) -> None:
--- a/tests/test_promise_blocks.py
+++ b/tests/test_promise_blocks.py
@@ -169,9 +169,9 @@
         self.stored: list[str] = []
 
     def held(self) -> list[object]:
-        from fielddrift_core.holding import Held
+        from fielddrift_core.holding import StoredPrefix
 
-        return [Held(p, a, "c", 1, 100, 9e9, "memory") for p, a in self.manifests.items()]
+        return [StoredPrefix(p, a, "c", 1, 100, 9e9, "memory") for p, a in self.manifests.items()]
 
     def remove(self, path: str, attempt: str) -> bool:
         if self.manifests.get(path) != attempt:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -240,15 +240,15 @@
             neighbours.receive(Heartbeat(other, True, False, 1, {}, {}), now)
             neighbours.receive(Heartbeat(far._neighbours.me, True, False, 1, {}, {}), now)
             own.workload.begin("e", f"r{number}", 10, 100)
-            own.workload.told(other.name, {"e": Burden(1, 10, 100)}, now)
-            own.loading.told("engine", now + 1.0)
-            own.loading.told("other", now + 1.0, remote=True)
+            own.workload.update_node(other.name, {"e": Burden(1, 10, 100)}, now)
+            own.loading.record_reported("engine", now + 1.0)
+            own.loading.record_reported("other", now + 1.0, remote=True)
             standing = neighbours.relation(far._neighbours.me, now)
             heartbeat = near.heartbeat(standing, leaving=False)
             self.assertEqual(set(heartbeat.loading), {"engine"})
             far._neighbours.receive(heartbeat._replace(ready=True), now)
             far.heard(heartbeat)
-            self.assertEqual(views.workload.at("e", now), Burden(2, 20, 200))
+            self.assertEqual(views.workload.burden_of("e", now), Burden(2, 20, 200))
         self.assertEqual(far._neighbours.sharing(now), 3)
         self.assertGreater(views.loading.seconds("engine", now), 0.9)
 
@@ -257,16 +257,16 @@
 
     def test_what_came_from_elsewhere_is_not_told_on(self) -> None:
         loading = LoadingEngines()
-        loading.told("engine", 5.0, remote=True)
-        self.assertEqual(loading.nearby(1.0), {})
+        loading.record_reported("engine", 5.0, remote=True)
+        self.assertEqual(loading.in_data_centre(1.0), {})
         self.assertEqual(loading.seconds("engine", 1.0), 4.0)
 
     def test_a_data_centre_s_burdens_hold_only_the_nodes_nearby(self) -> None:
         workload = Workload()
         workload.begin("e", "r", 0, 5)
-        workload.told("near", {"e": Burden(1, 0, 7)}, 0.0)
-        workload.told("b", {"e": Burden(9, 0, 90)}, 0.0)
-        self.assertEqual(workload.together(["near", "gone"], 0.1), {"e": Burden(2, 0, 12)})
+        workload.update_node("near", {"e": Burden(1, 0, 7)}, 0.0)
+        workload.update_node("b", {"e": Burden(9, 0, 90)}, 0.0)
+        self.assertEqual(workload.total(["near", "gone"], 0.1), {"e": Burden(2, 0, 12)})
 
 
 if __name__ == "__main__":
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,14 +9,14 @@
 from fielddrift_core.rollout import (
     DutyRow,
     EngineWeights,
-    NamedTimes,
+    NamingTimes,
     StoreClock,
     VersionAge,
-    _line,
-    may_take,
+    _load_order,
+    may_take_over,
     next_loads,
     seconds_to_begin,
-    soon_loading,
+    upcoming_loads,
 )
 from fielddrift_node.serving.ports import NamedWeights
 from fielddrift_node.serving.views import Views
@@ -42,34 +42,36 @@
         other = StoreClock(read_at, skew, skew + out + back)
         now = skew + out + back
         row = DutyRow("holder", 100.0 + until)
-        if may_take(row, holder="other", clock=other, now=now, turn=3.0):
+        if may_take_over(row, holder="other", clock=other, now=now, turn=3.0):
             true_now = read_at + back
             self.assertGreaterEqual(true_now + 1e-6, 100.0 + until + 3.0)
 
     def test_the_holder_itself_need_not_wait(self) -> None:
         clock = StoreClock(0.0, 0.0, 0.0)
-        self.assertTrue(may_take(DutyRow("me", 99.0), holder="me", clock=clock, now=0.0, turn=3.0))
+        self.assertTrue(
+            may_take_over(DutyRow("me", 99.0), holder="me", clock=clock, now=0.0, turn=3.0)
+        )
 
     def test_a_third_loads_at_once_over_all_data_centres(self) -> None:
         engines = [EngineWeights(f"e{n}", "abc"[n % 3], 1, False) for n in range(9)]
-        chosen = next_loads(engines, wanted=2, longest=7.0)
+        chosen = next_loads(engines, wanted=2, max_outdated=7.0)
         self.assertEqual(sorted(int(name[1:]) % 3 for name in chosen), [0, 1, 2])
         loading = [e._replace(loading=e.name in chosen) for e in engines]
-        self.assertEqual(next_loads(loading, wanted=2, longest=7.0), [])
+        self.assertEqual(next_loads(loading, wanted=2, max_outdated=7.0), [])
         late = [e._replace(outdated=7.1) for e in engines]
-        self.assertEqual(len(next_loads(late, wanted=2, longest=7.0)), 9)
+        self.assertEqual(len(next_loads(late, wanted=2, max_outdated=7.0)), 9)
 
     def test_every_node_knows_which_engines_load_next_until_all_have(self) -> None:
         engines = [EngineWeights(f"e{n}", "abc"[n % 3], 1, False) for n in range(9)]
         while behind := [e for e in engines if e.weights < 2]:
-            expected = soon_loading(engines, wanted=2)
-            chosen = next_loads(engines, wanted=2, longest=7.0)
+            expected = upcoming_loads(engines, wanted=2)
+            chosen = next_loads(engines, wanted=2, max_outdated=7.0)
             self.assertEqual(set(chosen), set(expected))
             loading = [e._replace(loading=e.name in chosen) for e in engines]
-            after = soon_loading(loading, wanted=2)
+            after = upcoming_loads(loading, wanted=2)
             self.assertEqual(len(after), min(3, len(behind) - 3))
             engines = [e._replace(weights=2) if e.name in chosen else e for e in engines]
-            self.assertEqual(set(next_loads(engines, wanted=2, longest=7.0)), set(after))
+            self.assertEqual(set(next_loads(engines, wanted=2, max_outdated=7.0)), set(after))
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(1, 3), st.booleans())))
@@ -87,13 +89,13 @@
             waiting.remove(engine)
             loading[engine.data_centre] += 1
             expected.append(engine.name)
-        self.assertEqual(_line(engines, 3), expected)
+        self.assertEqual(_load_order(engines, 3), expected)
 
     def test_the_oldest_weights_are_replaced_first(self) -> None:
         engines = [EngineWeights(f"e{n}", "abc"[n % 3], 2, False) for n in range(9)]
         for n in (4, 7):
             engines[n] = engines[n]._replace(weights=1)
-        chosen = next_loads(engines, wanted=3, longest=7.0)
+        chosen = next_loads(engines, wanted=3, max_outdated=7.0)
         self.assertEqual(len(chosen), 3)
         self.assertTrue({"e4", "e7"} <= set(chosen))
 
@@ -116,9 +118,9 @@
         self.assertAlmostEqual(views.outdated_seconds("m", 2, 110.0), 6.0)
 
     def test_requests_begin_on_older_weights_before_their_time_is_over(self) -> None:
-        self.assertEqual(seconds_to_begin(0.0, bound=10.0), float("inf"))
-        self.assertAlmostEqual(seconds_to_begin(6.9, bound=10.0), 2.6)
-        self.assertLessEqual(seconds_to_begin(9.5, bound=10.0), 0.0)
+        self.assertEqual(seconds_to_begin(0.0, max_outdated=10.0), float("inf"))
+        self.assertAlmostEqual(seconds_to_begin(6.9, max_outdated=10.0), 2.6)
+        self.assertLessEqual(seconds_to_begin(9.5, max_outdated=10.0), 0.0)
 
     def test_the_newest_sightings_of_weights_stand_last(self) -> None:
         views = Views()
@@ -131,7 +133,7 @@
         self.assertEqual(views.weights[("e2", "m")], 3)
 
     def test_a_version_that_was_missed_is_learned_from_others(self) -> None:
-        first, late = NamedTimes(), Views()
+        first, late = NamingTimes(), Views()
         first.heard("m", 2, 100.0)
         first.heard("m", 3, 104.0)
         late.take_weights(NamedWeights("m", 3), 205.0)
--- a/tests/test_room_line.py
+++ b/tests/test_room_line.py
@@ -8,7 +8,7 @@
 from fielddrift_core.placement import EngineChoice, EngineState, choose_engine
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_registry import Instance
-from fielddrift_core.waiting import Line, Turnover, Waiter
+from fielddrift_core.waiting import MemoryTurnover, PromptQueue, WaitingPrompt
 from fielddrift_core.workload import Burden
 
 TRAITS = EngineTraits(64, 70_000, 18_432, 1e9, ("m",), 4)
@@ -55,63 +55,63 @@
 
 class TestLine(unittest.TestCase):
     def test_the_urgent_come_first_then_who_would_be_late_first(self) -> None:
-        line = Line()
+        line = PromptQueue()
         for waiter in (
-            Waiter("late", 1, 5.0, 10),
-            Waiter("soon", 1, 4.0, 10),
-            Waiter("urgent", 0, 9.0, 10),
+            WaitingPrompt("late", 1, 5.0, 10),
+            WaitingPrompt("soon", 1, 4.0, 10),
+            WaitingPrompt("urgent", 0, 9.0, 10),
         ):
             line.add(waiter)
         order = []
-        while (first := line.first()) is not None:
+        while (first := line.head()) is not None:
             order.append(first.request)
             line.remove(first)
         self.assertEqual(order, ["urgent", "soon", "late"])
 
     def test_a_newcomer_counts_those_before_it(self) -> None:
-        line = Line()
-        line.add(Waiter("a", 1, 5.0, 10))
-        self.assertEqual(line.before(0), 0)
-        self.assertEqual(line.before(1), 1)
+        line = PromptQueue()
+        line.add(WaitingPrompt("a", 1, 5.0, 10))
+        self.assertEqual(line.count_ahead(0), 0)
+        self.assertEqual(line.count_ahead(1), 1)
 
 
 class TestTurnover(unittest.TestCase):
     def test_the_time_that_memory_is_kept_is_learned_from_runs(self) -> None:
-        turnover = Turnover()
+        turnover = MemoryTurnover()
         for _ in range(40):
             turnover.ended(12_000, 2.5)
         self.assertAlmostEqual(turnover.seconds, 2.5, places=2)
         self.assertAlmostEqual(turnover.wait(70_000, 350_000), 0.5, places=2)
 
     def test_small_runs_say_little_of_how_long_memory_is_kept(self) -> None:
-        turnover = Turnover()
+        turnover = MemoryTurnover()
         turnover.ended(12_000, 2.0)
         before = turnover.seconds
         turnover.ended(500, 0.1)
         self.assertLess(before - turnover.seconds, 0.02)
 
     def test_engines_get_what_takes_the_place_of_short_runs_before_they_end(self) -> None:
-        short, long = Turnover(), Turnover()
+        short, long = MemoryTurnover(), MemoryTurnover()
         for _ in range(60):
             short.ended(9_000, 0.2)
             long.ended(12_000, 2.5)
-        self.assertGreater(short.room_part(0, [0, 1]), 1.2)
-        self.assertLess(long.room_part(0, [0, 1]), 1.05)
+        self.assertGreater(short.send_limit(0, [0, 1]), 1.2)
+        self.assertLess(long.send_limit(0, [0, 1]), 1.05)
 
     def test_room_is_kept_for_the_most_urgent(self) -> None:
-        turnover = Turnover()
-        urgent, other = turnover.room_part(0, [0, 1]), turnover.room_part(1, [0, 1])
+        turnover = MemoryTurnover()
+        urgent, other = turnover.send_limit(0, [0, 1]), turnover.send_limit(1, [0, 1])
         self.assertGreater(urgent, other + 0.1)
-        self.assertEqual(turnover.room_part(1, [1]), urgent)
+        self.assertEqual(turnover.send_limit(1, [1]), urgent)
 
     def test_runs_without_length_do_not_fill_engines_without_bound(self) -> None:
-        turnover = Turnover()
+        turnover = MemoryTurnover()
         for _ in range(100):
             turnover.ended(50_000, 0.0)
-        self.assertLess(turnover.room_part(0, [0]), 2.0)
+        self.assertLess(turnover.send_limit(0, [0]), 2.0)
 
     def test_engines_of_unknown_memory_keep_nobody_waiting(self) -> None:
-        self.assertEqual(Turnover().wait(70_000, 0), 0.0)
+        self.assertEqual(MemoryTurnover().wait(70_000, 0), 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -88,11 +88,11 @@
         views.saw_weights(first.name, "m", 7)
         views.health.failed(first.name, 0.0)
         views.workload.begin(first.name, "r", int(PREFILL_TOKENS_PER_SECOND))
-        views.loading.note(first.name, 9.0)
+        views.loading.record_own(first.name, 9.0)
         second = self._hear(2)
         self.assertEqual(views.weights_of(second.name, "m"), 1)
         self.assertEqual(views.health.share(second.name, 0.0), 0.0)
-        self.assertEqual(views.workload.at(second.name, 0.0).running, 0)
+        self.assertEqual(views.workload.burden_of(second.name, 0.0).running, 0)
         self.assertEqual(views.loading.seconds(second.name, 0.0), 0.0)
 
     def test_the_end_of_an_entry_names_the_target_and_ends_its_life(self) -> None:
--- a/tests/test_told_beliefs.py
+++ b/tests/test_told_beliefs.py
@@ -66,7 +66,7 @@
         self.loop.run_until_complete(run())
 
     def test_an_engine_that_loads_for_a_second_is_believed_for_a_second(self) -> None:
-        self.nodes[0].views.loading.note("engine", self.loop.time() + 1.0)
+        self.nodes[0].views.loading.record_own("engine", self.loop.time() + 1.0)
         self._run(1.3)
         now = self.loop.time()
         left = [round(node.views.loading.seconds("engine", now), 2) for node in self.nodes]
@@ -75,8 +75,8 @@
     def test_a_lateness_halves_in_two_seconds_though_all_tell_of_it(self) -> None:
         alone = Lateness()
         for lateness in (alone, self.nodes[0].views.lateness):
-            lateness.came("store", 2.0, self.loop.time())
+            lateness.observe("store", 2.0, self.loop.time())
         self._run(4.0)
         now = self.loop.time()
-        found = max(node.views.lateness.of("store", now) for node in self.nodes)
-        self.assertLessEqual(found, 1.2 * alone.of("store", now))
+        found = max(node.views.lateness.for_store("store", now) for node in self.nodes)
+        self.assertLessEqual(found, 1.2 * alone.for_store("store", now))
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -4,26 +4,26 @@
 
 import unittest
 
-from fielddrift_core.urgency import LEAST_URGENT, Waits, urgency
+from fielddrift_core.urgency import LOWEST_URGENCY, CallerWaits, urgency
 from fielddrift_node.serving.views import Views
 
 
 class WaitsTest(unittest.TestCase):
     def test_who_says_less_than_usual_has_waited_since_its_first_try(self) -> None:
-        waits = Waits()
+        waits = CallerWaits()
         for _ in range(100):
             waits.waited("chat", 4.0)
         self.assertAlmostEqual(waits.waited("chat", 2.5), 1.5)
         self.assertEqual(waits.waited("chat", 4.0), 0.0)
 
     def test_a_few_patient_callers_make_nobody_late(self) -> None:
-        waits = Waits()
+        waits = CallerWaits()
         for number in range(200):
             waits.waited("chat", 30.0 if number % 20 == 0 else 4.0)
         self.assertEqual(waits.waited("chat", 4.0), 0.0)
 
     def test_a_first_request_has_not_waited(self) -> None:
-        self.assertEqual(Waits().waited("chat", 0.1), 0.0)
+        self.assertEqual(CallerWaits().waited("chat", 0.1), 0.0)
 
 
 class JustStartedTest(unittest.TestCase):
@@ -38,10 +38,10 @@
         ranks = [0, 1, 4]
         order = [urgency(r, late=late, ranks=ranks) for r in ranks for late in (False, True)]
         self.assertEqual(order, sorted(set(order)))
-        self.assertLessEqual(order[-1], LEAST_URGENT)
+        self.assertLessEqual(order[-1], LOWEST_URGENCY)
 
     def test_many_ranks_keep_their_own_order(self) -> None:
         ranks = list(range(8))
         self.assertEqual([urgency(r, late=True, ranks=ranks) for r in ranks], ranks)
         self.assertEqual(urgency(30, late=False, ranks=[30]), 0)
-        self.assertEqual(urgency(30, late=False, ranks=[]), LEAST_URGENT)
+        self.assertEqual(urgency(30, late=False, ranks=[]), LOWEST_URGENCY)
