--- a/bench/choice.py
+++ b/bench/choice.py
@@ -29,13 +29,13 @@
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_registry import Instance
 from fielddrift_core.workload import Burden
-from fielddrift_node.serving.call import Call, Tools, Trace
+from fielddrift_node.serving.call import Call, ServingContext, Trace
 from fielddrift_node.serving.crash_watch import CrashWatch
 from fielddrift_node.serving.kept import KeptParts, salt_of
 from fielddrift_node.serving.metrics import Metrics
-from fielddrift_node.serving.notices import Notices
-from fielddrift_node.serving.placing import Placing
-from fielddrift_node.serving.ports import Ask, NamedWeights
+from fielddrift_node.serving.notices import NoticeHandler
+from fielddrift_node.serving.placing import Placement
+from fielddrift_node.serving.ports import NamedWeights, ParsedRequest
 from fielddrift_node.serving.send_gate import SendGate
 from fielddrift_node.serving.settings import NodeSettings
 from fielddrift_node.serving.trying import Attempts
@@ -125,7 +125,7 @@
     return views
 
 
-def placing_of(fleet: Fleet, *, seed: int = 1) -> tuple[Placing, Tools, Call]:
+def placing_of(fleet: Fleet, *, seed: int = 1) -> tuple[Placement, ServingContext, Call]:
     """Return what chooses at a node of `fleet`, its tools, and a call to choose for."""
     loop = asyncio.get_running_loop()
     catalog = _catalog(fleet)
@@ -137,7 +137,7 @@
     )  # fmt: skip
     targets = LabTargets()
     neighbours = Neighbours(me=Neighbour("me", 1, _centre(0), address, address, address))
-    tools = Tools(
+    context = ServingContext(
         settings=settings,
         views=views,
         client=LabClient(engines={}, targets=targets),
@@ -146,7 +146,7 @@
         budgets={},
         rng=random.Random(seed),
         metrics=Metrics(),
-        told=lambda: None,
+        sends_changed=lambda: None,
         crashes=CrashWatch(
             views=views,
             client=LabClient(engines={}, targets=targets),
@@ -156,24 +156,24 @@
             send_update=lambda update, nodes: None,
         ),
         gate=SendGate(views=views, neighbours=neighbours, bounds=BOUNDS),
-        notices=Notices(views=views, changed=lambda: None),
+        notices=NoticeHandler(views=views, changed=lambda: None),
     )
     request = Request(RequestHead(b"POST", b"/", Headers(), True), b"", loop.time())
-    ask = Ask("id", "h", "/", "", 4.0, _PROMPT, "", request)
+    parsed = ParsedRequest("id", "h", "/", "", 4.0, _PROMPT, "", request)
     route, service = catalog.routes["h"][0], catalog.services[_SERVICE]
     now = loop.time()
-    call = Call(ask, catalog, route, service, None, now, now + 4.0, Trace())
-    return Placing(tools=tools, kept=KeptParts(views=views)), tools, call
+    call = Call(parsed, catalog, route, service, None, now, now + 4.0, Trace())
+    return Placement(context=context, kept=KeptParts(views=views)), context, call
 
 
 async def measure(fleet: Fleet) -> float:
     """Return the microseconds of processor time that a choice takes in `fleet`."""
-    placing, tools, call = placing_of(fleet)
+    placing, context, call = placing_of(fleet)
     began = time.process_time()
     for _ in range(_TRIES):
         now = asyncio.get_running_loop().time()
         await placing.place(
-            call._replace(began=now), Attempts(call=call, tools=tools), resumes=False
+            call._replace(arrived_at=now), Attempts(call=call, context=context), resumes=False
         )
     return (time.process_time() - began) / _TRIES * 1e6
 
--- a/bench/lab/dialects.py
+++ b/bench/lab/dialects.py
@@ -10,14 +10,14 @@
 from fielddrift_core.prompt import Part
 from fielddrift_core.target_registry import Instance
 from fielddrift_node.serving.ports import (
-    Ask,
     EngineReport,
-    KeptEvents,
-    KeptList,
     OrderOutcome,
-    OutOfReach,
-    Send,
-    Signs,
+    OutgoingRequest,
+    ParsedRequest,
+    RemoteCallError,
+    ResponseInfo,
+    StoreChanges,
+    StoreContents,
     WeightsOrder,
 )
 from fielddrift_node.web.client import Client, Exchange, ExchangeError
@@ -36,9 +36,9 @@
     """Callers that hand their question over as it is."""
 
     def __init__(self) -> None:
-        self.asks: dict[bytes, Ask] = {}
+        self.asks: dict[bytes, ParsedRequest] = {}
 
-    def read(self, request: Request) -> Ask:
+    def read(self, request: Request) -> ParsedRequest:
         """Return what is asked."""
         return self.asks.pop(request.head.target)
 
@@ -57,37 +57,37 @@
     """Engines that take a send as it is."""
 
     def __init__(self) -> None:
-        self.sends: dict[bytes, Send] = {}
+        self.sends: dict[bytes, OutgoingRequest] = {}
 
-    def request(self, send: Send) -> bytes:
+    def request(self, send: OutgoingRequest) -> bytes:
         """Return a name under which the send is found."""
-        name = f"{send.ask.request_id}@{send.instance.name}".encode()
+        name = f"{send.parsed.request_id}@{send.instance.name}".encode()
         self.sends[name] = send
         return name
 
-    def answers(self, send: Send, head: ResponseHead) -> bool:
+    def answers(self, send: OutgoingRequest, head: ResponseHead) -> bool:
         """Return that every answer is the one that is due."""
         return True
 
-    def signs(self, send: Send, head: ResponseHead) -> Signs:
+    def response_info(self, send: OutgoingRequest, head: ResponseHead) -> ResponseInfo:
         """Return what a head tells: engines here refuse only what they have not run."""
-        return Signs(head.status == 503, False, "", 1)
+        return ResponseInfo(head.status == 503, False, "", 1)
 
     async def order(self, order: WeightsOrder) -> OrderOutcome:
         """Refuse: no weights change here."""
-        raise OutOfReach("no orders in the laboratory", sure=True)
+        raise RemoteCallError("no orders in the laboratory", not_executed=True)
 
     async def report(self, instance: Instance) -> EngineReport:
         """Tell nothing."""
-        raise OutOfReach("no reports in the laboratory", sure=True)
+        raise RemoteCallError("no reports in the laboratory", not_executed=True)
 
-    async def kept_events(self, store: StoreTraits, since: int, wait: float) -> KeptEvents:
+    async def store_changes(self, store: StoreTraits, since: int, wait: float) -> StoreChanges:
         """Tell nothing: the laboratory writes the views of stores itself."""
-        raise OutOfReach("no events in the laboratory", sure=True)
+        raise RemoteCallError("no events in the laboratory", not_executed=True)
 
-    async def kept_list(self, store: StoreTraits) -> KeptList:
-        """Tell nothing, as `kept_events`."""
-        raise OutOfReach("no lists in the laboratory", sure=True)
+    async def store_contents(self, store: StoreTraits) -> StoreContents:
+        """Tell nothing, as `store_changes`."""
+        raise RemoteCallError("no lists in the laboratory", not_executed=True)
 
     async def free(self, store: StoreTraits, parts: Sequence[tuple[str, Part]], life: int) -> bool:
         """Free nothing."""
--- a/bench/lab/engine.py
+++ b/bench/lab/engine.py
@@ -14,7 +14,7 @@
 
 from fielddrift_core.prompt import Part
 from fielddrift_core.store_index import allocated_tokens
-from fielddrift_node.serving.ports import Send
+from fielddrift_node.serving.ports import OutgoingRequest
 from fielddrift_node.web.client import Exchange, ExchangeError
 from fielddrift_node.web.messages import Headers, ResponseHead
 
@@ -46,8 +46,8 @@
 class _Run:
     """A prompt at an engine."""
 
-    def __init__(self, *, send: Send, exchange: Exchange, number: int) -> None:
-        prompt = send.ask.prompt
+    def __init__(self, *, send: OutgoingRequest, exchange: Exchange, number: int) -> None:
+        prompt = send.parsed.prompt
         assert prompt is not None
         self.send = send
         self.exchange = exchange
@@ -107,7 +107,7 @@
         """Return how many prompts wait."""
         return len(self._waiting) + self._fetching
 
-    def take(self, send: Send, exchange: Exchange) -> None:
+    def take(self, send: OutgoingRequest, exchange: Exchange) -> None:
         """Take a prompt, or say that it is not run."""
         if self.waiting >= _QUEUE_FACTOR * self._sizes.slots:
             exchange.headed(_FULL)
--- a/bench/lab/laboratory.py
+++ b/bench/lab/laboratory.py
@@ -18,7 +18,7 @@
 )
 from fielddrift_core.prompt import Part
 from fielddrift_core.target_registry import Instance
-from fielddrift_node.serving.ports import Ask
+from fielddrift_node.serving.ports import ParsedRequest
 from fielddrift_node.web.messages import Headers, RequestHead
 from fielddrift_node.web.server import Request
 
@@ -291,7 +291,7 @@
         path = f"/{'urgent' if arrival.urgent else 'long'}/{name}"
         head = RequestHead(b"POST", path.encode(), Headers(), True)
         request = Request(head, b"", asyncio.get_running_loop().time())
-        node.callers.asks[head.target] = Ask(
+        node.callers.asks[head.target] = ParsedRequest(
             name, _HOST, path, "", patience, arrival.prompt, "", request
         )
         answer = Answer()
--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -11,13 +11,13 @@
 from fielddrift_core.prompt import Part
 from fielddrift_core.store_index import KeptChange
 from fielddrift_core.target_registry import Instance
-from fielddrift_node.serving.call import Tools
+from fielddrift_node.serving.call import ServingContext
 from fielddrift_node.serving.crash_watch import CrashWatch
 from fielddrift_node.serving.gateway import Gateway
 from fielddrift_node.serving.gossip import Gossip
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
 from fielddrift_node.serving.metrics import Metrics
-from fielddrift_node.serving.notices import Notices
+from fielddrift_node.serving.notices import NoticeHandler
 from fielddrift_node.serving.ports import NamedWeights
 from fielddrift_node.serving.send_gate import SendGate
 from fielddrift_node.serving.settings import Bounds, NodeSettings
@@ -34,9 +34,9 @@
     retry_ratio=0.2,
     retry_window=10.0,
     retry_slack=50.0,
-    turn=3.0,
+    handover_pause=3.0,
     weights=10.0,
-    entry_keep=5.0,
+    entry_cache=5.0,
 )
 _TICK_SECONDS = 0.2
 _PORT = 1
@@ -103,7 +103,7 @@
             rng=rng,
             send_update=self.gossip.send_crash_update,
         )
-        tools = Tools(
+        context = ServingContext(
             settings=settings,
             views=self.views,
             client=client,
@@ -112,12 +112,12 @@
             budgets={},
             rng=rng,
             metrics=self.metrics,
-            told=self.gossip.schedule_load_update,
+            sends_changed=self.gossip.schedule_load_update,
             crashes=crashes,
             gate=SendGate(views=self.views, neighbours=self.neighbours, bounds=BOUNDS),
-            notices=Notices(views=self.views, changed=self.gossip.schedule_load_update),
+            notices=NoticeHandler(views=self.views, changed=self.gossip.schedule_load_update),
         )
-        self.gateway = Gateway(tools=tools)
+        self.gateway = Gateway(context=context)
         self._tasks = [loop.create_task(self.gossip.run()), loop.create_task(self._tick())]
 
     def introduce(self, nodes: list[Neighbour]) -> None:
--- a/packages/node/src/fielddrift_node/serving/begin_watch.py
+++ b/packages/node/src/fielddrift_node/serving/begin_watch.py
@@ -10,13 +10,13 @@
 
 from .views import Views
 
-__all__ = ["BeginWatch"]
+__all__ = ["StaleWeightsTimeout"]
 
 _LOOK_SECONDS = 0.2
 """Between looks: weights may be named, or an earlier naming heard of, while a send waits."""
 
 
-class BeginWatch:
+class StaleWeightsTimeout:
     """Watch one send from its leaving to its first event; `bound` is the time for older weights."""
 
     def __init__(self, *, views: Views, model: str, weights: int, bound: float) -> None:
--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -17,12 +17,12 @@
 
 from ..web.client import Client
 from .metrics import Metrics
-from .notices import Notices
-from .ports import Ask, CallerDialect, TargetDialect
+from .notices import NoticeHandler
+from .ports import CallerDialect, ParsedRequest, TargetDialect
 from .settings import NodeSettings
 from .views import Views
 
-__all__ = ["Call", "HandedOn", "Refused", "Tools", "Trace", "short_id"]
+__all__ = ["Call", "RelayProgress", "Refused", "ServingContext", "Trace", "short_id"]
 
 _MOST_ID_CHARACTERS = 40
 """What a log line has of an event's id: a target may send any, a line must stay short."""
@@ -44,7 +44,7 @@
         self.refusal = refusal
 
 
-class HandedOn(TypedDict, total=False):
+class RelayProgress(TypedDict, total=False):
     """What a log line tells of a streaming answer, from all of its runs together."""
 
     events: int
@@ -98,11 +98,11 @@
         """Those of them that are odd, see `EventCutter.odd`."""
 
     @property
-    def broke_inside(self) -> bool:
+    def broke_mid_event(self) -> bool:
         """Return whether bytes of an event that has not ended came of the last send."""
         return self.cutter is not None and self.cutter.partial
 
-    def send_events(self, *, after: str) -> EventFramer:
+    def begin_event_stream(self, *, after: str) -> EventFramer:
         """Return what cuts the answer of the next send into events, behind the id `after`."""
         if self.cutter is not None:
             self.events_before += self.cutter.events
@@ -110,7 +110,7 @@
         self.cutter = EventFramer(after=after)
         return self.cutter
 
-    def handed_on(self) -> HandedOn:
+    def relay_progress(self) -> RelayProgress:
         """Return what has been handed on so far, nothing for a plain request."""
         cutter = self.cutter
         if cutter is None:
@@ -127,21 +127,21 @@
 class Call(NamedTuple):
     """A request that was judged: what it asks, under which catalog, until when."""
 
-    ask: Ask
+    parsed: ParsedRequest
     catalog: Catalog
     route: Route
     service: Service
     customer: CatalogCustomer | None
-    began: float
+    arrived_at: float
     deadline: float
     trace: Trace
-    waited: float = 0.0
+    waited_seconds: float = 0.0
     """Seconds for which the caller waited before this request, as far as that is known."""
 
     @property
     def late(self) -> bool:
         """Return whether an answer cannot be in time any more."""
-        return self.waited >= self.route.latency_goal
+        return self.waited_seconds >= self.route.latency_goal
 
     @property
     def rank(self) -> int:
@@ -161,13 +161,13 @@
 
         A prompt that comes without a body is told by its parts.
         """
-        head, body = self.ask.request.head, self.ask.request.body
-        prompt = self.ask.prompt
+        head, body = self.parsed.request.head, self.parsed.request.body
+        prompt = self.parsed.prompt
         if not body and prompt is not None:
             body = repr((prompt.model, prompt.parts)).encode()
-        customer = self.customer_name or self.ask.key
+        customer = self.customer_name or self.parsed.key
         return fingerprint(
-            (customer.encode(), self.ask.host.encode(), head.method, head.target, body)
+            (customer.encode(), self.parsed.host.encode(), head.method, head.target, body)
         )
 
 
@@ -199,11 +199,11 @@
     def sent(self, instance: Instance, now: float) -> None:
         """Take that a request is about to be sent."""
 
-    def soonest(self, instances: Iterable[Instance], now: float) -> float | None:
+    def shortest_wait(self, instances: Iterable[Instance], now: float) -> float | None:
         """Return the seconds until one of `instances` may be sent to, None where none is known."""
 
 
-class Tools(NamedTuple):
+class ServingContext(NamedTuple):
     """What the ways of a request share."""
 
     settings: NodeSettings
@@ -214,13 +214,13 @@
     budgets: dict[str, WindowBudget]
     rng: random.Random
     metrics: Metrics
-    told: Callable[[], None]
+    sends_changed: Callable[[], None]
     """Tells the nodes nearby soon what this one sends."""
     crashes: CrashCheck
     """Refuses requests that end their targets, and learns which do."""
     gate: SendCheck
     """Keeps what targets are sent within what they bear, and want."""
-    notices: Notices
+    notices: NoticeHandler
     """Takes what targets say of themselves."""
 
     def budget(self, service: str) -> WindowBudget:
--- a/packages/node/src/fielddrift_node/serving/cold_gate.py
+++ b/packages/node/src/fielddrift_node/serving/cold_gate.py
@@ -7,7 +7,7 @@
 from fielddrift_core.neighbours import Neighbours
 from fielddrift_core.target_registry import Instance
 
-from .owners import knows_owners
+from .owners import knows_active_nodes
 from .settings import Bounds
 from .views import Views
 
@@ -32,7 +32,7 @@
         # Whom other data centres have active is not known here, so they leave it to the near ones.
         if instance.data_centre != me.data_centre:
             return False
-        if not knows_owners(self._views, self._neighbours, now):
+        if not knows_active_nodes(self._views, self._neighbours, now):
             return False
         nodes = self._neighbours.recently_active(now)
         sends = self._share.sends(instance.name, nodes, self._bound(service), now)
--- a/packages/node/src/fielddrift_node/serving/crash_rows.py
+++ b/packages/node/src/fielddrift_node/serving/crash_rows.py
@@ -17,7 +17,7 @@
 from fielddrift_core.rollout import StoreClock
 
 from .feeds import Backoff
-from .ports import OutOfReach, Platform, RowWrite, SavedRow
+from .ports import Platform, RemoteCallError, RowWrite, SavedRow
 from .views import Views
 
 __all__ = ["CrashRows"]
@@ -88,7 +88,7 @@
                 await work()
                 self._backoff.succeeded()
                 return
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 await self._backoff.failed(error, max_seconds=_MAX_BACKOFF_SECONDS)
 
     def _changes(self) -> list[str]:
--- a/packages/node/src/fielddrift_node/serving/crash_watch.py
+++ b/packages/node/src/fielddrift_node/serving/crash_watch.py
@@ -108,7 +108,7 @@
             # planned.
             return
         now = self._loop.time()
-        run = LostRun(call.ask.request_id, call.fingerprint, name, now, now - sent_at)
+        run = LostRun(call.parsed.request_id, call.fingerprint, name, now, now - sent_at)
         if self._lost_runs.add(run):
             self._record_crashes([run], "ended before")
         elif name not in self._probes:
--- a/packages/node/src/fielddrift_node/serving/duty.py
+++ b/packages/node/src/fielddrift_node/serving/duty.py
@@ -17,7 +17,7 @@
     next_check,
 )
 
-from .ports import OutOfReach, Platform, RowWrite
+from .ports import Platform, RemoteCallError, RowWrite
 
 __all__ = ["Duty"]
 
@@ -74,7 +74,7 @@
         return same_era and asyncio.get_running_loop().time() < self._until - _ORDER_MARGIN
 
     async def take(self) -> bool:
-        """Take or renew the lease; raise `OutOfReach`."""
+        """Take or renew the lease; raise `RemoteCallError`."""
         loop = asyncio.get_running_loop()
         if self.held() and loop.time() < self._renew_at:
             return True
@@ -129,7 +129,7 @@
         was_held = self.held()
         try:
             done = await self._put(DutyRow(self._holder, until, self._platform.era))
-        except OutOfReach:
+        except RemoteCallError:
             # The write may have been done; the row tells at the next reading.
             self._until = float("-inf")
             raise
--- a/packages/node/src/fielddrift_node/serving/gateway.py
+++ b/packages/node/src/fielddrift_node/serving/gateway.py
@@ -11,10 +11,10 @@
 from fielddrift_core.leaving import longest_answer
 
 from ..web.server import Request, Responder
-from .call import Call, Refused, Tools, Trace
+from .call import Call, Refused, ServingContext, Trace
 from .generation import Generation
-from .plain import PlainCalls
-from .ports import Ask, BadAsk
+from .plain import PlainRequests
+from .ports import InvalidRequest, ParsedRequest
 
 __all__ = ["Gateway"]
 
@@ -34,47 +34,47 @@
 class Gateway:
     """Judge each request, and hand it to the way that serves it."""
 
-    def __init__(self, *, tools: Tools) -> None:
-        self._tools = tools
-        self._generation = Generation(tools=tools)
-        self._plain = PlainCalls(tools=tools)
+    def __init__(self, *, context: ServingContext) -> None:
+        self._context = context
+        self._generation = Generation(context=context)
+        self._plain = PlainRequests(context=context)
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request."""
-        ask = self._tools.callers.read(request)
-        if isinstance(ask, BadAsk):
-            refusal = Refusal(ErrorKind.BAD_REQUEST, ask.detail, Ran.NO)
+        parsed = self._context.callers.read(request)
+        if isinstance(parsed, InvalidRequest):
+            refusal = Refusal(ErrorKind.BAD_REQUEST, parsed.detail, Ran.NO)
             self._refuse(responder, "", refusal, Trace())
             return
         trace = Trace()
         loop = asyncio.get_running_loop()
-        self._tools.views.look(loop.time())
-        self._tools.views.load.add(loop.time())
+        self._context.views.look(loop.time())
+        self._context.views.load.add(loop.time())
         try:
-            call = await self._judge(ask, trace)
+            call = await self._judge(parsed, trace)
             async with asyncio.timeout_at(call.deadline):
                 await self._serve(call, responder)
             self._note_whole(call)
             self._log_end(call, "answered", loop.time())
         except Refused as refused:
-            self._refuse(responder, ask.request_id, refused.refusal, trace)
+            self._refuse(responder, parsed.request_id, refused.refusal, trace)
         except TimeoutError:
             refusal = Refusal(ErrorKind.DEADLINE, "no answer in time", _ran(trace))
-            self._refuse(responder, ask.request_id, refusal, trace)
+            self._refuse(responder, parsed.request_id, refusal, trace)
         except asyncio.CancelledError:
-            self._tools.metrics.left.inc()
-            _log.info("request left", request=ask.request_id, targets=trace.targets)
+            self._context.metrics.left.inc()
+            _log.info("request left", request=parsed.request_id, targets=trace.targets)
             raise
         except Exception:
-            _log.exception("request failed", request=ask.request_id)
+            _log.exception("request failed", request=parsed.request_id)
             refusal = Refusal(ErrorKind.INTERNAL, "the node failed", _ran(trace))
-            self._refuse(responder, ask.request_id, refusal, trace)
+            self._refuse(responder, parsed.request_id, refusal, trace)
 
     async def _serve(self, call: Call, responder: Responder) -> None:
         self._check_leaving(call)
-        self._tools.crashes.check(call)
-        if call.service.engine is not None and call.ask.prompt is not None:
-            self._tools.views.prompts.add(asyncio.get_running_loop().time())
+        self._context.crashes.check(call)
+        if call.service.engine is not None and call.parsed.prompt is not None:
+            self._context.views.prompts.add(asyncio.get_running_loop().time())
             await self._generation.serve(call, responder)
         else:
             await self._plain.serve(call, responder)
@@ -83,17 +83,17 @@
         """Note that a target answered: so this request did not end it."""
         trace = call.trace
         if trace.framed and trace.status < 500:
-            self._tools.crashes.answered(call, trace.targets[-1], trace.sent_at)
+            self._context.crashes.answered(call, trace.targets[-1], trace.sent_at)
 
     def _check_leaving(self, call: Call) -> None:
         """Raise `Refused` where this node may end before the answer does."""
-        leaving = self._tools.views.leaving
+        leaving = self._context.views.leaving
         if leaving is None:
             return
         now = asyncio.get_running_loop().time()
         longest = call.deadline - now
-        if call.service.engine is not None and call.ask.prompt is not None:
-            tokens = call.ask.prompt.tokens_out
+        if call.service.engine is not None and call.parsed.prompt is not None:
+            tokens = call.parsed.prompt.tokens_out
             longest = min(longest, longest_answer(aim=call.route.latency_goal, tokens=tokens))
         if not leaving.takes(now, longest):
             detail = f"this node stops in {leaving.closes - now:.2f} s, it may take {longest:.2f} s"
@@ -101,53 +101,57 @@
 
     # --- judging ------------------------------------------------------------
 
-    async def _judge(self, ask: Ask, trace: Trace) -> Call:
+    async def _judge(self, parsed: ParsedRequest, trace: Trace) -> Call:
         try:
-            return self._call(ask, trace)
+            return self._call(parsed, trace)
         except Refused:
-            if not self._tools.views.stale.is_set():
+            if not self._context.views.stale.is_set():
                 raise
         # This process was paused: what it believes may be long outdated.
-        await self._tools.views.refreshed(_ASK_AGAIN_SECONDS)
-        return self._call(ask, trace)
+        await self._context.views.refreshed(_ASK_AGAIN_SECONDS)
+        return self._call(parsed, trace)
 
-    def _call(self, ask: Ask, trace: Trace) -> Call:
-        views = self._tools.views
+    def _call(self, parsed: ParsedRequest, trace: Trace) -> Call:
+        views = self._context.views
         catalog = views.catalog
         if catalog is None:
             detail = "no configuration is known yet"
             raise Refused(Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.NO, 1.0, "no-catalog"))
-        route = catalog.route(ask.host, ask.path)
+        route = catalog.route(parsed.host, parsed.path)
         if route is None:
             if views.stale.is_set():
                 raise self._unsure("route")
-            detail = f"host {ask.host!r}, path {ask.path!r}: no route"
+            detail = f"host {parsed.host!r}, path {parsed.path!r}: no route"
             raise Refused(Refusal(ErrorKind.NOT_FOUND, detail, Ran.NO))
-        customer = catalog.customer(ask.key) if ask.key else None
+        customer = catalog.customer(parsed.key) if parsed.key else None
         if customer is None and catalog.customers and not route.anonymous:
             if views.stale.is_set():
                 raise self._unsure("key")
             raise Refused(Refusal(ErrorKind.UNAUTHORIZED, "the key is missing or unknown", Ran.NO))
-        service = catalog.services.get(self._share(route, ask))
+        service = catalog.services.get(self._share(route, parsed))
         if service is None:
             raise Refused(
                 Refusal(ErrorKind.NO_TARGET, f"route {route.name}: no service", Ran.NO, 1.0)
             )
-        patience = ask.patience if ask.patience is not None else _DEFAULT_PATIENCE
-        began = ask.request.arrived
+        patience = (
+            parsed.timeout_seconds if parsed.timeout_seconds is not None else _DEFAULT_PATIENCE
+        )
+        began = parsed.request.arrived
         deadline = began + min(patience, route.timeout)
-        waited = views.waits.waited(route.name, patience) if ask.patience is not None else 0.0
-        return Call(ask, catalog, route, service, customer, began, deadline, trace, waited)
+        waited = (
+            views.waits.waited(route.name, patience) if parsed.timeout_seconds is not None else 0.0
+        )
+        return Call(parsed, catalog, route, service, customer, began, deadline, trace, waited)
 
     def _unsure(self, what: str) -> Refused:
         detail = f"this node was paused and does not know whether the {what} exists"
         return Refused(Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.NO, _RETURN_SECONDS, "stale"))
 
-    def _share(self, route: Route, ask: Ask) -> str:
+    def _share(self, route: Route, parsed: ParsedRequest) -> str:
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
-        return self._tools.rng.choices(route.shares, weights)[0].service
+        return self._context.rng.choices(route.shares, weights)[0].service
 
     # --- ends ---------------------------------------------------------------
 
@@ -155,14 +159,14 @@
         self, responder: Responder, request_id: str, refusal: Refusal, trace: Trace
     ) -> None:
         if responder.started:
-            self._tools.metrics.cut.inc()
+            self._context.metrics.cut.inc()
             _log.warning(
                 "answer cut",
                 request=request_id,
                 detail=refusal.detail,
                 targets=trace.targets,
                 reasons=trace.reasons,
-                **trace.handed_on(),
+                **trace.relay_progress(),
             )
             responder.cut()
             return
@@ -175,8 +179,8 @@
         if status == 503 and retry_after is None:
             retry_after = _RETURN_SECONDS
         reason = refusal.reason or refusal.kind.value
-        self._tools.metrics.refusals.inc(of=reason)
-        headers = self._tools.callers.refusal_headers(request_id, retry_after)
+        self._context.metrics.refusals.inc(label_value=reason)
+        headers = self._context.callers.refusal_headers(request_id, retry_after)
         _log.info(
             "request refused",
             request=request_id,
@@ -193,16 +197,16 @@
     def _log_end(self, call: Call, outcome: str, now: float) -> None:
         trace = call.trace
         first = trace.first_event
-        metrics = self._tools.metrics
-        metrics.answers.inc(of=str(trace.status))
-        metrics.whole.observe(now - call.began)
+        metrics = self._context.metrics
+        metrics.answers.inc(label_value=str(trace.status))
+        metrics.whole.observe(now - call.arrived_at)
         if first is not None:
-            metrics.first_event.observe(first - call.began)
+            metrics.first_event.observe(first - call.arrived_at)
             metrics.estimate.observe(trace.estimate)
             metrics.held.observe(trace.held)
         _log.info(
             "request answered",
-            request=call.ask.request_id,
+            request=call.parsed.request_id,
             fingerprint=call.fingerprint,
             route=call.route.name,
             customer=call.customer_name,
@@ -215,13 +219,13 @@
             outdated_ms=round(trace.outdated_seconds * 1000),
             outdated_by=trace.outdated_by,
             parts=trace.parts,
-            waited_ms=round(call.waited * 1000),
+            waited_ms=round(call.waited_seconds * 1000),
             ahead=list(trace.ahead),
             held_ms=round(trace.held * 1000),
             estimate_ms=round(trace.estimate * 1000),
-            first_ms=None if first is None else round((first - call.began) * 1000),
-            ms=round((now - call.began) * 1000),
-            **trace.handed_on(),
+            first_ms=None if first is None else round((first - call.arrived_at) * 1000),
+            ms=round((now - call.arrived_at) * 1000),
+            **trace.relay_progress(),
         )
 
 
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -18,12 +18,12 @@
 from ..web.client import Exchange, ExchangeError
 from ..web.messages import ResponseHead
 from ..web.server import Responder
-from .begin_watch import BeginWatch
-from .call import Call, Tools, short_id
+from .begin_watch import StaleWeightsTimeout
+from .call import Call, ServingContext, short_id
 from .kept import KeptParts
-from .placing import FIRST_EVENT_ESTIMATES, Placing
-from .ports import Send
-from .trying import Attempts, TryFailed, send_once
+from .placing import FIRST_EVENT_TIMEOUT_ESTIMATES, Placement
+from .ports import OutgoingRequest
+from .trying import AttemptFailed, Attempts, send_once
 
 __all__ = ["Generation"]
 
@@ -70,25 +70,25 @@
     Without it, a caller that lacks only the end of an answer would be refused: the
     empty rest looks like a run that broke off.
     """
-    return call.ask.resume_after if call.route.resumable else ""
+    return call.parsed.resume_after if call.route.resumable else ""
 
 
 class Generation:
     """Serve prompts on engines."""
 
-    def __init__(self, *, tools: Tools) -> None:
-        self._tools = tools
-        self._kept = KeptParts(views=tools.views)
-        self._placing = Placing(tools=tools, kept=self._kept)
+    def __init__(self, *, context: ServingContext) -> None:
+        self._context = context
+        self._kept = KeptParts(views=context.views)
+        self._placing = Placement(context=context, kept=self._kept)
 
     async def serve(self, call: Call, responder: Responder) -> None:
         """Answer `call`; raise `Refused`."""
-        attempts = Attempts(call=call, tools=self._tools)
+        attempts = Attempts(call=call, context=self._context)
         run = await self._start(call, attempts, after="")
         try:
             call.trace.status = run.head.status
             call.trace.first_event = asyncio.get_running_loop().time()
-            headers = self._tools.callers.answer_headers(run.head, call.ask.request_id)
+            headers = self._context.callers.answer_headers(run.head, call.parsed.request_id)
             responder.start(run.head.status, headers, run.head.length)
             responder.write(run.first)
             if not _streams(run.head):
@@ -114,7 +114,7 @@
             attempts.begin(choice.instance)
             try:
                 run = await self._try(call, choice, after=after, more=attempts.more())
-            except TryFailed as failure:
+            except AttemptFailed as failure:
                 self._learn(call, choice, failure)
                 attempts.failed(failure)
             else:
@@ -122,9 +122,9 @@
                 return run
 
     async def _try(self, call: Call, choice: EngineChoice, *, after: str, more: bool) -> _Run:
-        tools = self._tools
+        context = self._context
         send = self._send(call, choice, after)
-        cutter = call.trace.send_events(after=after or _callers_last_id(call))
+        cutter = call.trace.begin_event_stream(after=after or _callers_last_id(call))
         name = choice.instance.name
         ordered = self._begin(call, choice, send)
         began = asyncio.get_running_loop().time()
@@ -134,33 +134,33 @@
         try:
             async with asyncio.timeout(self._patience(call, choice) if more else None) as limit:
                 with watch.over(limit):
-                    exchange, head = await send_once(tools, send, call)
+                    exchange, head = await send_once(context, send, call)
                     first = await self._first(exchange, head, cutter)
             ok = True
         except TimeoutError:
             reason = "outdated" if watch.expired else "silent"
             detail = f"target {name}: no event, {reason}"
-            raise TryFailed(detail, reason=reason, reached=True, not_run=False) from None
+            raise AttemptFailed(detail, reason=reason, reached=True, not_run=False) from None
         except ExchangeError as error:
-            raise TryFailed(str(error), reason="cut", reached=True, not_run=False) from None
-        except TryFailed as failure:
+            raise AttemptFailed(str(error), reason="cut", reached=True, not_run=False) from None
+        except AttemptFailed as failure:
             if failure.not_run:
                 self._take_back(name, ordered)
             raise
         finally:
             if not ok:
-                tools.views.workload.end(name, call.trace.key)
+                context.views.workload.end(name, call.trace.key)
                 if exchange is not None:
                     exchange.cancel()
         no_rest = after != "" and not _streams(head)
         if no_rest or (head.status >= 500 and more and call.route.repeatable):
-            tools.views.workload.end(name, call.trace.key)
+            context.views.workload.end(name, call.trace.key)
             exchange.cancel()
             detail = f"target {name}: status {head.status}"
-            raise TryFailed(detail, reason="status", reached=True, not_run=False)
+            raise AttemptFailed(detail, reason="status", reached=True, not_run=False)
         self._heard_first(call, choice, began)
         if head.status < 500:
-            tools.views.health.succeeded(name, asyncio.get_running_loop().time())
+            context.views.health.succeeded(name, asyncio.get_running_loop().time())
         self._heard_weights(call, send, head)
         return _Run(choice, exchange, head, first, cutter, began, [])
 
@@ -181,21 +181,22 @@
             if ready := cutter.feed(data):
                 return ready
 
-    def _watch(self, call: Call, send: Send) -> BeginWatch:
-        prompt = call.ask.prompt
+    def _watch(self, call: Call, send: OutgoingRequest) -> StaleWeightsTimeout:
+        prompt = call.parsed.prompt
         assert prompt is not None and send.weights is not None
-        return BeginWatch(
-            views=self._tools.views,
+        return StaleWeightsTimeout(
+            views=self._context.views,
             model=prompt.model,
             weights=send.weights,
-            bound=self._tools.settings.bounds.weights,
+            bound=self._context.settings.bounds.weights,
         )
 
     def _patience(self, call: Call, choice: EngineChoice) -> float | None:
         if not call.route.repeatable:
             return None
         return max(
-            _FIRST_EVENT_AIMS * call.route.latency_goal, FIRST_EVENT_ESTIMATES * choice.seconds
+            _FIRST_EVENT_AIMS * call.route.latency_goal,
+            FIRST_EVENT_TIMEOUT_ESTIMATES * choice.seconds,
         )
 
     # --- relaying -------------------------------------------------------------
@@ -209,7 +210,7 @@
                 responder.write(data)
                 await responder.drained()
         except ExchangeError as error:
-            failure = TryFailed(str(error), reason="cut", reached=True, not_run=False)
+            failure = AttemptFailed(str(error), reason="cut", reached=True, not_run=False)
             self._learn(call, run.choice, failure)
             attempts.failed(failure)
             # A part of it went out: no other answer may follow.
@@ -231,11 +232,13 @@
                     await responder.drained()
             if not cutter.partial:
                 return True
-            failure = TryFailed("ended inside an event", reason="cut", reached=True, not_run=False)
+            failure = AttemptFailed(
+                "ended inside an event", reason="cut", reached=True, not_run=False
+            )
         except ExchangeError as error:
-            failure = TryFailed(str(error), reason="cut", reached=True, not_run=False)
+            failure = AttemptFailed(str(error), reason="cut", reached=True, not_run=False)
         except TimeoutError:
-            failure = TryFailed("silent", reason="silent", reached=True, not_run=False)
+            failure = AttemptFailed("silent", reason="silent", reached=True, not_run=False)
         self._learn(call, run.choice, failure)
         run.exchange.cancel()
         attempts.failed(failure)
@@ -249,52 +252,52 @@
 
     def _ended(self, call: Call, run: _Run) -> None:
         run.exchange.cancel()
-        views = self._tools.views
+        views = self._context.views
         views.workload.end(run.choice.instance.name, call.trace.key)
         now = asyncio.get_running_loop().time()
-        assert call.ask.prompt is not None
+        assert call.parsed.prompt is not None
         if not run.ended:
             run.ended.append(True)
-            self._tools.metrics.odd_events.inc(run.cutter.odd)
-            views.rooms.of(call.service.name).turnover.ended(
-                call.ask.prompt.tokens, now - run.began
+            self._context.metrics.odd_events.inc(run.cutter.odd)
+            views.service_queues.of(call.service.name).turnover.ended(
+                call.parsed.prompt.tokens, now - run.began
             )
-        views.rooms.changed()
-        self._tools.told()
+        views.service_queues.wake_all()
+        self._context.sends_changed()
 
     # --- sending ---------------------------------------------------------------
 
-    def _send(self, call: Call, choice: EngineChoice, resume_after: str) -> Send:
-        prompt = call.ask.prompt
+    def _send(self, call: Call, choice: EngineChoice, resume_after: str) -> OutgoingRequest:
+        prompt = call.parsed.prompt
         assert prompt is not None
-        views = self._tools.views
+        views = self._context.views
         now = asyncio.get_running_loop().time()
         salt = self._kept.salt(call, prompt, choice.instance.name)
         weights = views.weights_of(choice.instance.name, prompt.model)
         self._note_weights(call, prompt.model, weights, now)
         call.trace.estimate = choice.seconds
         call.trace.ahead = choice.burden
-        return Send(
-            ask=call.ask,
+        return OutgoingRequest(
+            parsed=call.parsed,
             instance=choice.instance,
             seconds=call.deadline - now,
             customer=call.customer_name,
             salt=salt,
             weights=weights,
             fetch=self._kept.fetch(call, choice, salt),
-            resume_after=resume_after or call.ask.resume_after,
+            resume_after=resume_after or call.parsed.resume_after,
             urgency=self._urgency(call),
         )
 
     def _note_weights(self, call: Call, model: str, weights: int | None, now: float) -> None:
         """Note for the log on which weights a send runs, and how outdated they are."""
         trace = call.trace
-        naming = None if weights is None else self._tools.views.outdating(model, weights)
+        naming = None if weights is None else self._context.views.outdating(model, weights)
         trace.weights = weights
         trace.outdated_by = None if naming is None else naming.version
         trace.outdated_seconds = 0.0 if naming is None else now - naming.at
         if naming is not None:
-            self._tools.metrics.outdated_sends.inc()
+            self._context.metrics.outdated_sends.inc()
 
     def _note_run(self, call: Call, run: _Run, after: str) -> None:
         """Note a run that gives something; log it where another that may have run came before."""
@@ -305,11 +308,11 @@
             return
         _log.info(
             "run resumed",
-            request=call.ask.request_id,
+            request=call.parsed.request_id,
             target=run.choice.instance.name,
             connection=trace.connection,
             weights=trace.weights,
-            after=short_id(after or call.ask.resume_after),
+            after=short_id(after or call.parsed.resume_after),
             first=short_id(first_event_id(run.first)) if _streams(run.head) else "",
             events_before=trace.events_before,
             runs=trace.runs,
@@ -322,26 +325,26 @@
         late anyway.  In an overload that lasts, coming last would mean never.
         """
         now = asyncio.get_running_loop().time()
-        late = call.late and self._tools.views.just_started(now)
+        late = call.late and self._context.views.just_started(now)
         return urgency(call.rank, late=late, ranks=call.catalog.priorities)
 
     # --- counting -------------------------------------------------------------
 
-    def _begin(self, call: Call, choice: EngineChoice, send: Send) -> _Ordered:
+    def _begin(self, call: Call, choice: EngineChoice, send: OutgoingRequest) -> _Ordered:
         """Count the run, and the moves that it causes; return what the engine is to keep."""
-        prompt, traits = call.ask.prompt, call.service.engine
+        prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
-        views = self._tools.views
+        views = self._context.views
         engine = choice.instance
         now = asyncio.get_running_loop().time()
         views.workload.begin(engine.name, call.trace.key, choice.fetch_plan.unread, prompt.tokens)
         held = views.memory.parts(engine.name, send.salt)
-        tokens = self._tools.metrics.tokens
+        tokens = self._context.metrics.tokens
         for part, source, save in zip(
             prompt.parts, send.fetch.sources, send.fetch.saves, strict=True
         ):
             way = "fetch" if source else "save" if save else "read"
-            tokens.inc(part.tokens, of=way)
+            tokens.inc(part.tokens, label_value=way)
             view = views.store_index.view(source or save)
             if view is None or (source and part.id in held):
                 continue
@@ -350,7 +353,7 @@
             )
             views.links.add(view.traits.address, seconds, now)
         number = views.memory.sent(engine.name, send.salt, prompt.shared, traits.memory)
-        self._tools.told()
+        self._context.sends_changed()
         kept = [part.id for part in prompt.shared if part.id not in held]
         saves = zip(prompt.parts, send.fetch.saves, strict=True)
         return _Ordered(number, send.salt, kept, [part.id for part, save in saves if save])
@@ -361,17 +364,17 @@
         Otherwise the parts would count as being saved for some seconds, and the engine
         that reads them next would save none of them.
         """
-        views = self._tools.views
+        views = self._context.views
         views.memory.undo_send(engine, ordered.salt, ordered.kept, send=ordered.send)
         for part in ordered.saved:
             views.store_index.cancel_save(ordered.salt, part)
 
     def _heard_first(self, call: Call, choice: EngineChoice, began: float) -> None:
         """Learn from the time that the first event took."""
-        views = self._tools.views
+        views = self._context.views
         now = asyncio.get_running_loop().time()
         views.workload.read(choice.instance.name, call.trace.key)
-        self._tools.told()
+        self._context.sends_changed()
         taken = now - began
         views.pace.observe(
             call.service.name,
@@ -380,14 +383,14 @@
             seconds=taken - choice.fetch_plan.fetch_seconds,
         )
         late = taken - choice.seconds
-        self._tools.metrics.estimate_error.observe(max(0.0, late))
+        self._context.metrics.estimate_error.observe(max(0.0, late))
         for store in {s.address for s in choice.fetch_plan.sources if s is not None}:
             views.lateness.observe(store, late, now)
 
     # --- learning -------------------------------------------------------------
 
-    def _learn(self, call: Call, choice: EngineChoice, failure: TryFailed) -> None:
-        views = self._tools.views
+    def _learn(self, call: Call, choice: EngineChoice, failure: AttemptFailed) -> None:
+        views = self._context.views
         name = choice.instance.name
         now = asyncio.get_running_loop().time()
         if failure.reason == "replaced":
@@ -404,9 +407,9 @@
             return
         views.health.failed(name, now)
 
-    def _heard_weights(self, call: Call, send: Send, head: ResponseHead) -> None:
-        signs = self._tools.targets.signs(send, head)
-        prompt = call.ask.prompt
-        if signs.weights is None or prompt is None:
+    def _heard_weights(self, call: Call, send: OutgoingRequest, head: ResponseHead) -> None:
+        response_info = self._context.targets.response_info(send, head)
+        prompt = call.parsed.prompt
+        if response_info.weights is None or prompt is None:
             return
-        self._tools.views.saw_weights(send.instance.name, prompt.model, signs.weights)
+        self._context.views.saw_weights(send.instance.name, prompt.model, response_info.weights)
--- a/packages/node/src/fielddrift_node/serving/heartbeats.py
+++ b/packages/node/src/fielddrift_node/serving/heartbeats.py
@@ -99,7 +99,7 @@
             self._neighbours.set_size(centre, DataCentreSize(size.running, size.memory))
         if views.workload.update_node(teller, burdens, now):
             # Only then is there more room than before: who waits weighs all engines anew.
-            views.rooms.changed()
+            views.service_queues.wake_all()
         views.heard_ages(heartbeat.named_ages, now)
         views.links.update_node(teller, heartbeat.moves, now)
         views.lateness.merge_reported(heartbeat.lateness, now)
--- a/packages/node/src/fielddrift_node/serving/kept.py
+++ b/packages/node/src/fielddrift_node/serving/kept.py
@@ -9,7 +9,7 @@
 from fielddrift_core.prompt import Part, Prompt
 
 from .call import Call
-from .ports import Fetch
+from .ports import TransferPlan
 from .views import FETCH_SECONDS, Views
 
 __all__ = ["KeptLookup", "KeptParts", "salt_of"]
@@ -85,9 +85,9 @@
         isolated = call.customer_name if call.customer and call.customer.isolated else ""
         return KeptLookup(views=self._views, model=prompt.model, isolated=isolated, now=now)
 
-    def fetch(self, call: Call, choice: EngineChoice, salt: str) -> Fetch:
+    def fetch(self, call: Call, choice: EngineChoice, salt: str) -> TransferPlan:
         """Return the stores to fetch from and to save to, for each part of the prompt."""
-        prompt = call.ask.prompt
+        prompt = call.parsed.prompt
         assert prompt is not None
         now = asyncio.get_running_loop().time()
         sources = tuple("" if s is None else s.address for s in choice.fetch_plan.sources)
@@ -97,7 +97,7 @@
             f"{part.id}:{part.tokens}:{self._way(part, source, save, salt, memory, now)}"
             for part, source, save in zip(prompt.shared, sources, saves, strict=False)
         ]
-        return Fetch(sources, saves, self._until(call, choice, now))
+        return TransferPlan(sources, saves, self._until(call, choice, now))
 
     def _way(
         self, part: Part, source: str, save: str, salt: str, memory: Collection[str], now: float
@@ -118,10 +118,10 @@
 
     def _until(self, call: Call, choice: EngineChoice, now: float) -> int | None:
         """Return when a fetch should be given up, so that reading can still be in time."""
-        prompt = call.ask.prompt
+        prompt = call.parsed.prompt
         assert prompt is not None
         reading = choice.prefill_seconds(prompt.tokens_in + choice.burden.unread)
-        spare = call.began + call.route.latency_goal - reading - _READ_SPARE_SECONDS - now
+        spare = call.arrived_at + call.route.latency_goal - reading - _READ_SPARE_SECONDS - now
         patience = max(
             spare, _LEAST_FETCH_SECONDS, _FETCH_ESTIMATES * choice.fetch_plan.fetch_seconds
         )
--- a/packages/node/src/fielddrift_node/serving/limit_gate.py
+++ b/packages/node/src/fielddrift_node/serving/limit_gate.py
@@ -8,7 +8,7 @@
 from fielddrift_core.neighbours import Neighbours
 from fielddrift_core.target_registry import Instance
 
-from .owners import knows_owners
+from .owners import knows_active_nodes
 from .views import Views
 
 __all__ = ["LimitGate"]
@@ -33,7 +33,7 @@
         if rate is None:
             return 0.0
         part = self._part(instance.data_centre, now)
-        if not part or not knows_owners(self._views, self._neighbours, now):
+        if not part or not knows_active_nodes(self._views, self._neighbours, now):
             return math.inf
         nodes = self._neighbours.recently_active(now)
         spacing = self._share.spacing(instance.name, rate * part, nodes, now)
--- a/packages/node/src/fielddrift_node/serving/membership.py
+++ b/packages/node/src/fielddrift_node/serving/membership.py
@@ -14,7 +14,7 @@
 from fielddrift_core.silent_rows import SilentRows
 
 from .gossip import Gossip
-from .ports import OutOfReach, Platform, RowWrite, SavedRow
+from .ports import Platform, RemoteCallError, RowWrite, SavedRow
 from .settings import NodeSettings
 
 __all__ = ["Membership"]
@@ -85,7 +85,7 @@
             self._store_restored.clear()
             try:
                 await self._look()
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 _log.warning("list of nodes not read", error=str(error))
 
     async def _join(self) -> None:
@@ -99,7 +99,7 @@
                 await self._platform.write(TABLE, [_write(self._neighbours.me)])
                 rows, _ = await self._platform.rows(TABLE)
                 break
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 _log.warning("not joined yet", error=str(error))
                 await asyncio.sleep(_JOIN_REST_SECONDS)
         self._introduce(rows)
--- a/packages/node/src/fielddrift_node/serving/metrics.py
+++ b/packages/node/src/fielddrift_node/serving/metrics.py
@@ -38,9 +38,9 @@
         if not label:
             self._sums[""] = 0.0
 
-    def inc(self, amount: float = 1, *, of: str = "") -> None:
-        """Add `amount` to the sum for the label's value `of`."""
-        self._sums[of] += amount
+    def inc(self, amount: float = 1, *, label_value: str = "") -> None:
+        """Add `amount` to the sum for the label value `label_value`."""
+        self._sums[label_value] += amount
 
     def family(self) -> Metric:
         """Return the sums as the library words them."""
--- a/packages/node/src/fielddrift_node/serving/named_rows.py
+++ b/packages/node/src/fielddrift_node/serving/named_rows.py
@@ -17,7 +17,7 @@
 from fielddrift_core.rollout import StoreClock, times_to_save
 
 from .feeds import Backoff
-from .ports import OutOfReach, Platform, RowWrite, SavedRow
+from .ports import Platform, RemoteCallError, RowWrite, SavedRow
 from .views import Views
 
 __all__ = ["NamedRows"]
@@ -88,7 +88,7 @@
             try:
                 await self._save_read_versions()
                 self._backoff.succeeded()
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 await self._backoff.failed(error)
                 self._rows_read.set()
 
@@ -103,7 +103,7 @@
             try:
                 await self._read()
                 self._backoff.succeeded()
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 await self._backoff.failed(error)
         self._apply_minimum_age(found)
 
@@ -126,7 +126,7 @@
                     await self.save(model)
 
     async def save(self, model: str) -> None:
-        """Save the times of the versions of `model` unless they are saved; raise `OutOfReach`."""
+        """Save the times of the versions of `model` unless saved; raise `RemoteCallError`."""
         for _ in range(_MAX_WRITE_ATTEMPTS):
             clock = self._recent_clock() or await self._read()
             saved = self._saved.get(model, _ABSENT)
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -16,7 +16,7 @@
 from ..web.client import Client
 from ..web.server import Limits, Server
 from .beliefs import beliefs_of, to_json
-from .call import Tools
+from .call import ServingContext
 from .crash_rows import CrashRows
 from .crash_watch import CrashWatch
 from .directory import EntryDialect, EntryHandler
@@ -28,9 +28,9 @@
 from .membership import Membership
 from .metrics import Metrics, MetricsHandler
 from .named_rows import NamedRows
-from .notices import Notices
+from .notices import NoticeHandler
 from .operator_feed import OperatorFeed
-from .ports import CallerDialect, OutOfReach, Platform, TargetDialect
+from .ports import CallerDialect, Platform, RemoteCallError, TargetDialect
 from .rollout_runner import RolloutRunner
 from .send_gate import SendGate
 from .settings import NodeSettings
@@ -166,10 +166,10 @@
             name="weights",
             holder=f"{settings.name}@{settings.host}",
             platform=platform,
-            turn=settings.bounds.turn,
+            turn=settings.bounds.handover_pause,
             era_since=lambda: self._era_since,
         )
-        notices = Notices(
+        notices = NoticeHandler(
             views=self._views, changed=lambda: self._gossip.schedule_update(Scope.ALL)
         )
         self._rollout_runner = RolloutRunner(
@@ -183,7 +183,7 @@
             metrics=self._metrics,
             announce=lambda: self._gossip.schedule_update(Scope.ALL),
         )
-        tools = Tools(
+        context = ServingContext(
             settings=settings,
             views=self._views,
             client=client,
@@ -192,19 +192,19 @@
             budgets={},
             rng=rng,
             metrics=self._metrics,
-            told=self._gossip.schedule_load_update,
+            sends_changed=self._gossip.schedule_load_update,
             crashes=self._crashes,
             gate=SendGate(views=self._views, neighbours=self._neighbours, bounds=settings.bounds),
             notices=notices,
         )
-        self._entry_server = Server(handler=Gateway(tools=tools).handle, limits=self._limits)
+        self._entry_server = Server(handler=Gateway(context=context).handle, limits=self._limits)
         directory = EntryHandler(
             dialect=dialects.entry,
             addresses=lambda data_centre: self._neighbours.addresses(
                 data_centre, asyncio.get_running_loop().time()
             ),
             ready=lambda: self._serving,
-            keep=self._entry_keep,
+            keep=self._entry_cache,
         )
         self._directory_server = Server(handler=directory.handle, limits=Limits)
         self._peer_server = Server(handler=PeerHandler(views=self._views).handle, limits=Limits)
@@ -225,11 +225,11 @@
     def _serving(self) -> bool:
         return self._views.ready and not self._leaving
 
-    def _entry_keep(self) -> float:
+    def _entry_cache(self) -> float:
         """Return for how many seconds callers may keep an entry answer given now."""
         early = asyncio.get_running_loop().time() - self._membership.joined_at < _EARLY_SECONDS
         keep = _EARLY_KEEP_SECONDS if early else _ENTRY_KEEP_SECONDS
-        return min(keep, self._settings.bounds.entry_keep)
+        return min(keep, self._settings.bounds.entry_cache)
 
     def _beliefs(self) -> bytes:
         reader = self._targets.reader()
@@ -292,7 +292,7 @@
         _log.info("leaving", busy=self._entry_server.busy)
         try:
             await self._rollout_runner.stop()
-        except OutOfReach as error:
+        except RemoteCallError as error:
             _log.warning("duty not given back", error=str(error))
         quiet_since = loop.time()
         while loop.time() < until:
@@ -394,7 +394,7 @@
                 continue
             try:
                 await self._store_tracker.free_outdated()
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 _log.warning("parts not freed", error=str(error))
 
     # --- what is told and heard ---------------------------------------------------
--- a/packages/node/src/fielddrift_node/serving/notices.py
+++ b/packages/node/src/fielddrift_node/serving/notices.py
@@ -11,12 +11,12 @@
 
 from .views import Views
 
-__all__ = ["Notices", "log_limit"]
+__all__ = ["NoticeHandler", "log_limit"]
 
 _log = structlog.get_logger()
 
 
-class Notices:
+class NoticeHandler:
     """Note what targets say; `changed` is called when other nodes should hear of it soon."""
 
     def __init__(self, *, views: Views, changed: Callable[[], None]) -> None:
--- a/packages/node/src/fielddrift_node/serving/operator_feed.py
+++ b/packages/node/src/fielddrift_node/serving/operator_feed.py
@@ -15,7 +15,7 @@
 from fielddrift_core.readers import OPERATORS_POLL_SECONDS
 
 from .feeds import Feed, FeedTools
-from .ports import HistoryGone, NamedWeights, OperatorNews, OutOfReach
+from .ports import HistoryTruncated, NamedWeights, OperatorChanges, RemoteCallError
 from .sharing import OperatorCopy
 
 __all__ = ["OperatorFeed"]
@@ -117,10 +117,10 @@
             current = asyncio.current_task()
             if current is not None and current.cancelling():
                 raise
-        except HistoryGone:
+        except HistoryTruncated:
             _log.info("history gone", what="operators' rows", after=self._after)
             self._after = None
-        except (OutOfReach, msgspec.DecodeError) as error:
+        except (RemoteCallError, msgspec.DecodeError) as error:
             await self._back_off(error)
 
     async def _turn(self) -> None:
@@ -158,16 +158,16 @@
         read_at = now - self._reading_of(reader, now).age - OPERATORS_POLL_SECONDS
         self._views.operators_at = max(self._views.operators_at, read_at)
 
-    async def _ask(self, wait: float) -> OperatorNews | None:
+    async def _ask(self, wait: float) -> OperatorChanges | None:
         """Return what the platform tells, None for a long poll that fell silent."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         self._waiting = wait > 0
         try:
-            return await self._platform.operator_news(self._after, wait)
-        except OutOfReach as error:
+            return await self._platform.operator_changes(self._after, wait)
+        except RemoteCallError as error:
             seconds = loop.time() - began
-            if not wait or error.sure:
+            if not wait or error.not_executed:
                 raise
             _log.warning("long poll given up", seconds=round(seconds, 3), error=str(error))
             if seconds < wait:
@@ -201,7 +201,7 @@
     async def _copy(self, node: Neighbour) -> None:
         try:
             self._take_copy(await self._peers.operators(node), node.name)
-        except OutOfReach as error:
+        except RemoteCallError as error:
             # Its next heartbeat, or another node's, says the same again.
             _log.info("node not reached", peer=node.name, error=str(error))
 
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -26,19 +26,19 @@
 from fielddrift_core.waiting import WaitingPrompt, queue_name
 from fielddrift_core.workload import Burden
 
-from .call import Call, Refused, Tools
+from .call import Call, Refused, ServingContext
 from .kept import KeptLookup, KeptParts
-from .rooms import Room
+from .rooms import ServiceQueue
 from .trying import Attempts
 
-__all__ = ["FIRST_EVENT_ESTIMATES", "Placing"]
+__all__ = ["FIRST_EVENT_TIMEOUT_ESTIMATES", "Placement"]
 
-FIRST_EVENT_ESTIMATES = 4.0
+FIRST_EVENT_TIMEOUT_ESTIMATES = 4.0
 """Silence before the first event, in estimates, after which a run is moved."""
 _OLDEST_PART = 0.7
 """Part of the time within which requests may begin on older weights in which they are
 sent: the rest, of some 3 s, lets nearly all begin that wait at a crowded engine (2.4 s
-at most so far), and `BeginWatch` calls off who waits longer."""
+at most so far), and `StaleWeightsTimeout` calls off who waits longer."""
 _LEAST_WAIT_PART = 0.25
 """Part of the aim for which a prompt may wait even if it will then be late: engines that
 are slow serve everyone late, and still serve."""
@@ -67,18 +67,18 @@
     sends: bool
 
 
-class Placing:
+class Placement:
     """Choose engines for prompts."""
 
-    def __init__(self, *, tools: Tools, kept: KeptParts) -> None:
-        self._tools = tools
+    def __init__(self, *, context: ServingContext, kept: KeptParts) -> None:
+        self._context = context
         self._kept = kept
 
     async def place(self, call: Call, attempts: Attempts, *, resumes: bool) -> EngineChoice:
         """Return the engine to send to now; raise `Refused`."""
-        room = self._tools.views.rooms.of(call.service.name)
+        room = self._context.views.service_queues.of(call.service.name)
         rank = _RESUME_RANK if resumes else call.rank
-        if room.line.count_ahead(rank) == 0:
+        if room.queue.count_ahead(rank) == 0:
             fitting = self._fitting(call, attempts.tried)
             if fitting is not None:
                 if not attempts.tried:
@@ -94,11 +94,11 @@
 
     # --- waiting ----------------------------------------------------------------
 
-    def _wait(self, call: Call, room: Room) -> float:
+    def _wait(self, call: Call, room: ServiceQueue) -> float:
         """Return the seconds until there is room behind all that wait for it anywhere."""
-        prompt, traits = call.ask.prompt, call.service.engine
+        prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
-        views = self._tools.views
+        views = self._context.views
         now = asyncio.get_running_loop().time()
         names = [
             queue_name(call.service.name, r) for r in call.catalog.priorities if r <= call.rank
@@ -113,10 +113,10 @@
         Engines that want nothing of this node have no room for it, however empty they are.
         """
         now = asyncio.get_running_loop().time()
-        serving = self._tools.views.registry.serving(call.service.name)
-        closed = self._tools.gate.soonest(serving, now)
+        serving = self._context.views.registry.serving(call.service.name)
+        closed = self._context.gate.shortest_wait(serving, now)
         if closed is None:
-            back = retry_delay(time_left=call.deadline - now, rng=self._tools.rng)
+            back = retry_delay(time_left=call.deadline - now, rng=self._context.rng)
             detail = "no engine takes requests of this node"
             raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "closed"))
         return closed
@@ -128,11 +128,11 @@
         """
         queue = wait + choice.prefill_seconds(choice.burden.unread)
         back = refusal_delay(
-            time_left=call.ask.patience or call.deadline - call.began,
+            time_left=call.parsed.timeout_seconds or call.deadline - call.arrived_at,
             estimate=wait + choice.seconds,
             latency_goal=call.route.latency_goal,
             congested=is_congested(queue_seconds=queue, latency_goal=call.route.latency_goal),
-            rng=self._tools.rng,
+            rng=self._context.rng,
         )
         if back is None:
             return
@@ -141,32 +141,34 @@
         raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back))
 
     async def _in_line(
-        self, call: Call, attempts: Attempts, best: EngineChoice, room: Room, rank: int
+        self, call: Call, attempts: Attempts, best: EngineChoice, room: ServiceQueue, rank: int
     ) -> EngineChoice:
         """Return an engine once one has room; raise `Refused` when that comes too late."""
         loop = asyncio.get_running_loop()
-        prompt = call.ask.prompt
+        prompt = call.parsed.prompt
         assert prompt is not None
         aim, began = call.route.latency_goal, loop.time()
-        due = max(call.began + LATE_FRACTION * aim - best.seconds, began + _LEAST_WAIT_PART * aim)
+        due = max(
+            call.arrived_at + LATE_FRACTION * aim - best.seconds, began + _LEAST_WAIT_PART * aim
+        )
         waiter = WaitingPrompt(call.trace.key, rank, due, prompt.tokens)
-        workload, name = self._tools.views.workload, queue_name(call.service.name, rank)
-        room.line.add(waiter)
+        workload, name = self._context.views.workload, queue_name(call.service.name, rank)
+        room.queue.add(waiter)
         workload.begin(name, waiter.request, 0, prompt.tokens)
-        self._tools.told()
+        self._context.sends_changed()
         try:
             while (left := due - loop.time()) > 0:
-                await room.turn(waiter, min(left, _LOOK_SECONDS))
-                if room.line.head() is not waiter:
+                await room.wait_turn(waiter, min(left, _LOOK_SECONDS))
+                if room.queue.head() is not waiter:
                     continue
                 fitting = self._fitting(call, attempts.tried)
                 if fitting is not None:
                     return fitting
         finally:
             call.trace.held += loop.time() - began
-            room.line.remove(waiter)
+            room.queue.remove(waiter)
             workload.end(name, waiter.request)
-            room.wake()
+            room.wake_first()
         return self._waited_in_vain(call, attempts, loop.time() - began)
 
     def _waited_in_vain(self, call: Call, attempts: Attempts, seconds: float) -> EngineChoice:
@@ -177,7 +179,7 @@
                 raise attempts.exhausted()
             return best
         patience = call.deadline - asyncio.get_running_loop().time()
-        back = retry_delay(time_left=patience, rng=self._tools.rng)
+        back = retry_delay(time_left=patience, rng=self._context.rng)
         detail = f"no engine had room for {seconds:.2f} s"
         raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "no-room"))
 
@@ -185,7 +187,7 @@
 
     def _fitting(self, call: Call, tried: set[str]) -> EngineChoice | None:
         """Return the best engine that works and has room, None when there is none."""
-        turnover = self._tools.views.rooms.of(call.service.name).turnover
+        turnover = self._context.views.service_queues.of(call.service.name).turnover
         part = turnover.send_limit(call.rank, call.catalog.priorities)
         return self._choose(call, tried, part=part, sends=True)
 
@@ -193,7 +195,7 @@
         self, call: Call, tried: set[str], *, part: float | None = None, sends: bool = False
     ) -> EngineChoice | None:
         """Return the best engine; with `sends` only of those that may be sent to now."""
-        prompt, traits = call.ask.prompt, call.service.engine
+        prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
         now = asyncio.get_running_loop().time()
         lookup = self._kept.lookup(call, prompt, now)
@@ -201,7 +203,7 @@
             prompt,
             self._sights(call, tried, lookup, _Wanted(part, sends), now),
             traits=traits,
-            data_centre=self._tools.settings.data_centre,
+            data_centre=self._context.settings.data_centre,
             latency_goal=call.route.latency_goal,
             holders=lookup.holders,
             memory_fraction=part,
@@ -211,17 +213,17 @@
         self, call: Call, tried: set[str], lookup: KeptLookup, wanted: _Wanted, now: float
     ) -> list[EngineState]:
         """Return what is known of the engines that are weighed for a prompt."""
-        prompt, traits = call.ask.prompt, call.service.engine
+        prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
-        views = self._tools.views
+        views = self._context.views
         placeable = views.placeable(call.service.name, prompt.model, now)
-        oldest = self._tools.settings.bounds.weights * _OLDEST_PART
+        oldest = self._context.settings.bounds.weights * _OLDEST_PART
         candidates = [
             _Candidate(engine, instance, views.workload.burden_of(engine.name, now))
             for engine in placeable.engines
             if engine.name not in tried and engine.outdated <= oldest
             if (instance := views.registry.get(engine.name)) is not None
-            if not wanted.sends or self._tools.gate.allows(call.service, instance, now)
+            if not wanted.sends or self._context.gate.allows(call.service, instance, now)
         ]
         part = wanted.part
         if part is not None:
@@ -234,18 +236,18 @@
             candidates = self._working(candidates, now)
         weighed = sample(
             candidates,
-            data_centre=self._tools.settings.data_centre,
-            rng=self._tools.rng,
+            data_centre=self._context.settings.data_centre,
+            rng=self._context.rng,
         )
         return [self._sight(call, c, lookup, placeable.soon, now) for c in weighed]
 
     def _reads_soon(self, call: Call, candidate: _Candidate) -> bool:
-        pace = self._tools.views.pace.factor(call.service.name, candidate.engine.name)
+        pace = self._context.views.pace.factor(call.service.name, candidate.engine.name)
         return can_prefill_soon(candidate.burden, pace)
 
     def _working(self, candidates: list[_Candidate], now: float) -> list[_Candidate]:
         """Return the engines that work; all of them where none does."""
-        health = self._tools.views.health
+        health = self._context.views.health
         working = [
             candidate
             for candidate in candidates
@@ -262,13 +264,13 @@
         soon: frozenset[str],
         now: float,
     ) -> EngineState:
-        views = self._tools.views
-        prompt = call.ask.prompt
+        views = self._context.views
+        prompt = call.parsed.prompt
         assert prompt is not None
         engine, instance = candidate.engine, candidate.instance
         # A send of what may run once only cannot be made up for when it is called off.
-        spare = 1.0 if call.route.repeatable else FIRST_EVENT_ESTIMATES
-        left = seconds_to_begin(engine.outdated, max_outdated=self._tools.settings.bounds.weights)
+        spare = 1.0 if call.route.repeatable else FIRST_EVENT_TIMEOUT_ESTIMATES
+        left = seconds_to_begin(engine.outdated, max_outdated=self._context.settings.bounds.weights)
         return EngineState(
             instance=instance,
             burden=candidate.burden,
--- a/packages/node/src/fielddrift_node/serving/plain.py
+++ b/packages/node/src/fielddrift_node/serving/plain.py
@@ -10,26 +10,26 @@
 from ..web.client import Exchange, ExchangeError
 from ..web.messages import ResponseHead
 from ..web.server import Responder
-from .call import Call, Tools
-from .ports import Send
-from .trying import Attempts, TryFailed, send_once
+from .call import Call, ServingContext
+from .ports import OutgoingRequest
+from .trying import AttemptFailed, Attempts, send_once
 
-__all__ = ["PlainCalls"]
+__all__ = ["PlainRequests"]
 
 _SILENCE_AIMS = 4.0
 """Silence of so many times a route's aim, after which a repeatable request is sent elsewhere."""
 _LEAST_SILENCE = 0.35
 
 
-class PlainCalls:
+class PlainRequests:
     """Send to the target with the least expected time; again elsewhere where allowed."""
 
-    def __init__(self, *, tools: Tools) -> None:
-        self._tools = tools
+    def __init__(self, *, context: ServingContext) -> None:
+        self._context = context
 
     async def serve(self, call: Call, responder: Responder) -> None:
         """Answer `call`; raise `Refused`."""
-        attempts = Attempts(call=call, tools=self._tools)
+        attempts = Attempts(call=call, context=self._context)
         while True:
             instance = self._choose(call, attempts.tried)
             if instance is None:
@@ -37,47 +37,49 @@
             attempts.begin(instance)
             try:
                 head, body = await self._try(call, instance, more=attempts.more())
-            except TryFailed as failure:
+            except AttemptFailed as failure:
                 attempts.failed(failure)
                 continue
             call.trace.status = head.status
-            headers = self._tools.callers.answer_headers(head, call.ask.request_id)
+            headers = self._context.callers.answer_headers(head, call.parsed.request_id)
             responder.send(head.status, headers, body)
             return
 
     def _choose(self, call: Call, tried: set[str]) -> Instance | None:
-        views = self._tools.views
+        views = self._context.views
         now = asyncio.get_running_loop().time()
         sights = [
             PlainTargetState(
                 i, views.workload.burden_of(i.name, now), views.health.share(i.name, now)
             )
             for i in views.registry.serving(call.service.name)
-            if self._tools.gate.allows(call.service, i, now)
+            if self._context.gate.allows(call.service, i, now)
         ]
         return choose_plain_target(
             sights,
-            data_centre=self._tools.settings.data_centre,
+            data_centre=self._context.settings.data_centre,
             tried=tried,
-            rng=self._tools.rng,
+            rng=self._context.rng,
         )
 
     async def _try(
         self, call: Call, instance: Instance, *, more: bool
     ) -> tuple[ResponseHead, bytes]:
-        views = self._tools.views
+        views = self._context.views
         loop = asyncio.get_running_loop()
-        send = Send(call.ask, instance, call.deadline - loop.time(), call.customer_name)
+        send = OutgoingRequest(
+            call.parsed, instance, call.deadline - loop.time(), call.customer_name
+        )
         views.workload.begin(instance.name, call.trace.key, 0)
         try:
             async with asyncio.timeout(self._patience(call) if more else None):
                 head, body = await self._exchange(call, send)
         except TimeoutError:
             views.health.failed(instance.name, loop.time())
-            raise TryFailed(
+            raise AttemptFailed(
                 f"target {instance.name}: silent", reason="silent", reached=True, not_run=False
             ) from None
-        except TryFailed as failure:
+        except AttemptFailed as failure:
             views.health.failed(instance.name, loop.time())
             if failure.reason == "replaced":
                 views.registry.left(instance.name)
@@ -88,20 +90,20 @@
             views.health.failed(instance.name, loop.time())
             if more and call.route.repeatable:
                 detail = f"target {instance.name}: status {head.status}"
-                raise TryFailed(detail, reason="status", reached=True, not_run=False)
+                raise AttemptFailed(detail, reason="status", reached=True, not_run=False)
         else:
             views.health.succeeded(instance.name, loop.time())
         return head, body
 
-    async def _exchange(self, call: Call, send: Send) -> tuple[ResponseHead, bytes]:
-        exchange, head = await send_once(self._tools, send, call)
+    async def _exchange(self, call: Call, send: OutgoingRequest) -> tuple[ResponseHead, bytes]:
+        exchange, head = await send_once(self._context, send, call)
         return head, await self._body(send, exchange)
 
-    async def _body(self, send: Send, exchange: Exchange) -> bytes:
+    async def _body(self, send: OutgoingRequest, exchange: Exchange) -> bytes:
         try:
             return await exchange.body()
         except ExchangeError as error:
-            raise TryFailed(str(error), reason="cut", reached=True, not_run=False) from None
+            raise AttemptFailed(str(error), reason="cut", reached=True, not_run=False) from None
         finally:
             exchange.cancel()
 
--- a/packages/node/src/fielddrift_node/serving/ports.py
+++ b/packages/node/src/fielddrift_node/serving/ports.py
@@ -19,27 +19,27 @@
 from ..web.server import Request
 
 __all__ = [
-    "Ask",
-    "BadAsk",
+    "ParsedRequest",
+    "InvalidRequest",
     "CallerDialect",
     "EngineReport",
-    "Fetch",
-    "HeldPart",
-    "HistoryGone",
-    "KeptEvents",
-    "KeptList",
+    "TransferPlan",
+    "StoredPart",
+    "HistoryTruncated",
+    "StoreChanges",
+    "StoreContents",
     "NamedWeights",
-    "OperatorNews",
+    "OperatorChanges",
     "OrderOutcome",
-    "OutOfReach",
-    "Outcome",
+    "RemoteCallError",
+    "WriteOutcome",
     "Platform",
     "RowWrite",
     "SavedRow",
-    "Send",
-    "Signs",
+    "OutgoingRequest",
+    "ResponseInfo",
     "TargetDialect",
-    "TargetNews",
+    "TargetChanges",
     "WeightsOrder",
 ]
 
@@ -47,29 +47,29 @@
 _NO_NOTICE = TargetNotice()
 
 
-class OutOfReach(Exception):
+class RemoteCallError(Exception):
     """The platform, or a target, gave no usable answer; `sure` when the call surely did nothing.
 
     `notice` is what the other side said of itself beside.
     """
 
     def __init__(
-        self, detail: str, *, sure: bool = False, notice: TargetNotice = _NO_NOTICE
+        self, detail: str, *, not_executed: bool = False, notice: TargetNotice = _NO_NOTICE
     ) -> None:
         super().__init__(detail)
-        self.sure = sure
+        self.not_executed = not_executed
         self.notice = notice
 
 
-class HistoryGone(Exception):
+class HistoryTruncated(Exception):
     """Changes after the version asked for are no longer kept; read the whole.
 
-    `went_back` says that the store has come back from a copy: that version is of an older era.
+    `store_restored` says that the store has come back from a copy: that version is of an older era.
     """
 
-    def __init__(self, table: str, *, went_back: bool = False) -> None:
+    def __init__(self, table: str, *, store_restored: bool = False) -> None:
         super().__init__(table)
-        self.went_back = went_back
+        self.store_restored = store_restored
 
 
 # --- the platform ------------------------------------------------------------
@@ -82,7 +82,7 @@
     version: int
 
 
-class OperatorNews(NamedTuple):
+class OperatorChanges(NamedTuple):
     """What operators wrote: a whole catalog if it changed, named weights, evacuations.
 
     `version` is where the next reading goes on.
@@ -94,7 +94,7 @@
     evacuations: EvacuationNews = EvacuationNews()
 
 
-class TargetNews(NamedTuple):
+class TargetChanges(NamedTuple):
     """Entries of targets that changed, and the names of those that ended.
 
     With `whole` the entries are all that there are.  `unreadable` are ids whose entries came
@@ -127,7 +127,7 @@
     expect: int | None = None
 
 
-class Outcome(NamedTuple):
+class WriteOutcome(NamedTuple):
     """Whether writes took effect; `clock` is the platform's steady clock in seconds."""
 
     done: bool
@@ -136,7 +136,7 @@
 
 
 class Platform(Protocol):
-    """The platform's store, as far as the node uses it.  All may raise `OutOfReach`.
+    """The platform's store, as far as the node uses it.  All may raise `RemoteCallError`.
 
     Versions are marks, see `fielddrift_core.eras`.  `calls` counts the calls made since the
     start, refused ones too, `unreadable` the versions of rows that were not understood; `era`
@@ -147,26 +147,26 @@
     unreadable: int
     era: int
 
-    async def operator_news(self, after: int | None, wait: float) -> OperatorNews:
+    async def operator_changes(self, after: int | None, wait: float) -> OperatorChanges:
         """Return what operators wrote after `after`, waiting up to `wait` seconds."""
 
-    async def target_news(self, after: int | None) -> TargetNews:
+    async def target_changes(self, after: int | None) -> TargetChanges:
         """Return what changed among targets after `after`; all of it for None."""
 
     async def rows(self, table: str) -> tuple[list[SavedRow], float]:
         """Return the node's own rows in `table`, and the platform's clock."""
 
-    async def write(self, table: str, writes: Sequence[RowWrite]) -> Outcome:
+    async def write(self, table: str, writes: Sequence[RowWrite]) -> WriteOutcome:
         """Write rows, all or none."""
 
 
 # --- callers -----------------------------------------------------------------
 
 
-class Ask(NamedTuple):
+class ParsedRequest(NamedTuple):
     """A caller's request, as far as the node must understand it.
 
-    `patience` is the seconds that the caller waits, None when it did not say.
+    `timeout_seconds` is how long the caller waits for the answer, None when not given.
     `resume_after` names the last event that the caller has.
     """
 
@@ -174,13 +174,13 @@
     host: str
     path: str
     key: str
-    patience: float | None
+    timeout_seconds: float | None
     prompt: Prompt | None
     resume_after: str
     request: Request
 
 
-class BadAsk(NamedTuple):
+class InvalidRequest(NamedTuple):
     """Why a request cannot be understood."""
 
     detail: str
@@ -189,7 +189,7 @@
 class CallerDialect(Protocol):
     """How callers speak."""
 
-    def read(self, request: Request) -> Ask | BadAsk:
+    def read(self, request: Request) -> ParsedRequest | InvalidRequest:
         """Return what is asked."""
 
     def answer_headers(self, head: ResponseHead, request_id: str) -> Headers:
@@ -202,7 +202,7 @@
 # --- targets -----------------------------------------------------------------
 
 
-class Fetch(NamedTuple):
+class TransferPlan(NamedTuple):
     """Kept parts that an engine should fetch, and those it should save.
 
     Each list has one entry a part of the prompt: a store's address, or empty.
@@ -214,21 +214,21 @@
     until: int | None = None
 
 
-class Send(NamedTuple):
+class OutgoingRequest(NamedTuple):
     """One sending of a request to one target; `seconds` is the time it has left."""
 
-    ask: Ask
+    parsed: ParsedRequest
     instance: Instance
     seconds: float
     customer: str
     salt: str = ""
     weights: int | None = None
-    fetch: Fetch = Fetch()
+    fetch: TransferPlan = TransferPlan()
     resume_after: str = ""
     urgency: int | None = None
 
 
-class Signs(NamedTuple):
+class ResponseInfo(NamedTuple):
     """What an answer's head tells beside its status.
 
     `not_started` is proof that the request has not run and will not.
@@ -284,7 +284,7 @@
     notice: TargetNotice = _NO_NOTICE
 
 
-class HeldPart(NamedTuple):
+class StoredPart(NamedTuple):
     """A part that a store keeps whole under a salt."""
 
     salt: str
@@ -292,7 +292,7 @@
     tokens: int
 
 
-class KeptEvents(NamedTuple):
+class StoreChanges(NamedTuple):
     """What changed at a store since the last call.
 
     `life` numbers the store's lives; with `gap` some changes are unknown.
@@ -302,31 +302,31 @@
     life: int
     following: int
     gap: bool
-    added: tuple[HeldPart, ...]
-    dropped: tuple[HeldPart, ...]
+    added: tuple[StoredPart, ...]
+    dropped: tuple[StoredPart, ...]
     clock: int | None
 
 
-class KeptList(NamedTuple):
+class StoreContents(NamedTuple):
     """Everything that a store keeps whole, and what broke off on its way there."""
 
     life: int
     following: int
-    held: tuple[HeldPart, ...]
-    broken: tuple[HeldPart, ...]
+    held: tuple[StoredPart, ...]
+    broken: tuple[StoredPart, ...]
     clock: int | None
 
 
 class TargetDialect(Protocol):
-    """How targets speak.  Calls raise `OutOfReach`."""
+    """How targets speak.  Calls raise `RemoteCallError`."""
 
-    def request(self, send: Send) -> bytes:
+    def request(self, send: OutgoingRequest) -> bytes:
         """Return the whole request to send."""
 
-    def answers(self, send: Send, head: ResponseHead) -> bool:
+    def answers(self, send: OutgoingRequest, head: ResponseHead) -> bool:
         """Return whether `head` answers `send`, not an earlier request."""
 
-    def signs(self, send: Send, head: ResponseHead) -> Signs:
+    def response_info(self, send: OutgoingRequest, head: ResponseHead) -> ResponseInfo:
         """Return what the head of an answer to `send` tells."""
 
     async def order(self, order: WeightsOrder) -> OrderOutcome:
@@ -335,10 +335,10 @@
     async def report(self, instance: Instance) -> EngineReport:
         """Ask an engine for its state."""
 
-    async def kept_events(self, store: StoreTraits, since: int, wait: float) -> KeptEvents:
+    async def store_changes(self, store: StoreTraits, since: int, wait: float) -> StoreChanges:
         """Return what changed at a store after `since`."""
 
-    async def kept_list(self, store: StoreTraits) -> KeptList:
+    async def store_contents(self, store: StoreTraits) -> StoreContents:
         """Return everything that a store keeps."""
 
     async def free(self, store: StoreTraits, parts: Sequence[tuple[str, Part]], life: int) -> bool:
--- a/packages/node/src/fielddrift_node/serving/rollout_runner.py
+++ b/packages/node/src/fielddrift_node/serving/rollout_runner.py
@@ -15,8 +15,8 @@
 from .duty import Duty
 from .metrics import Metrics
 from .named_rows import NamedRows
-from .notices import Notices
-from .ports import EngineReport, OutOfReach, TargetDialect, WeightsOrder
+from .notices import NoticeHandler
+from .ports import EngineReport, RemoteCallError, TargetDialect, WeightsOrder
 from .views import Views
 
 __all__ = ["RolloutRunner"]
@@ -62,7 +62,7 @@
         views: Views,
         neighbours: Neighbours,
         targets: TargetDialect,
-        notices: Notices,
+        notices: NoticeHandler,
         duty: Duty,
         named_rows: NamedRows,
         weights_seconds: float,
@@ -89,7 +89,7 @@
                 await asyncio.sleep(self._rest())
                 try:
                     await self._turn()
-                except OutOfReach as error:
+                except RemoteCallError as error:
                     _log.warning("duty not taken", error=str(error))
                     await asyncio.sleep(_LOOK_SECONDS * 3)
         finally:
@@ -225,7 +225,7 @@
             return None
         try:
             report = await self._targets.report(instance)
-        except OutOfReach as error:
+        except RemoteCallError as error:
             _log.info("no report", target=name, error=str(error))
             self._notices.heard(instance, error.notice)
             return None
@@ -244,12 +244,12 @@
         order = WeightsOrder(instance, model, wanted, self._duty.holder, self._duty.fence, orders)
         try:
             outcome = await self._targets.order(order)
-        except OutOfReach as error:
-            self._metrics.orders.inc(of="unanswered")
+        except RemoteCallError as error:
+            self._metrics.orders.inc(label_value="unanswered")
             _log.warning("order not answered", target=name, version=wanted, error=str(error))
             return
         self._notices.heard(instance, outcome.notice)
-        self._metrics.orders.inc(of="taken" if outcome.taken else "refused")
+        self._metrics.orders.inc(label_value="taken" if outcome.taken else "refused")
         _log.info(
             "order given",
             target=name,
--- a/packages/node/src/fielddrift_node/serving/rooms.py
+++ b/packages/node/src/fielddrift_node/serving/rooms.py
@@ -1,4 +1,4 @@
-"""Let prompts wait at this node until an engine has room for them."""
+"""Queue prompts at this node until an engine has memory for them."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 
 from fielddrift_core.waiting import MemoryTurnover, PromptQueue, WaitingPrompt
 
-__all__ = ["Room", "Rooms"]
+__all__ = ["ServiceQueue", "ServiceQueues"]
 
 
-class Room:
-    """The line before one service's engines, and how fast their memory turns over."""
+class ServiceQueue:
+    """The queue for one service's engines, and how fast their memory turns over."""
 
     def __init__(self) -> None:
-        self.line = PromptQueue()
+        self.queue = PromptQueue()
         self.turnover = MemoryTurnover()
-        self._woken: dict[int, asyncio.Event] = {}
+        self._wakeups: dict[int, asyncio.Event] = {}
 
-    async def turn(self, waiter: WaitingPrompt, seconds: float) -> None:
-        """Wait until it may be the turn of `waiter`, for `seconds` at most."""
-        event = self._woken[id(waiter)] = asyncio.Event()
+    async def wait_turn(self, waiter: WaitingPrompt, seconds: float) -> None:
+        """Wait until `waiter` may be first in the queue, for at most `seconds`."""
+        event = self._wakeups[id(waiter)] = asyncio.Event()
         try:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
                     await event.wait()
         finally:
-            del self._woken[id(waiter)]
+            del self._wakeups[id(waiter)]
 
-    def wake(self) -> None:
-        """Let whoever is first look for room."""
-        first = self.line.head()
-        if first is not None and id(first) in self._woken:
-            self._woken[id(first)].set()
+    def wake_first(self) -> None:
+        """Wake the first prompt in the queue, so that it looks for an engine with memory."""
+        first = self.queue.head()
+        if first is not None and id(first) in self._wakeups:
+            self._wakeups[id(first)].set()
 
 
-class Rooms:
-    """The lines of all services."""
+class ServiceQueues:
+    """The queues of all services."""
 
     def __init__(self) -> None:
-        self._rooms: dict[str, Room] = {}
+        self._queues: dict[str, ServiceQueue] = {}
 
-    def of(self, service: str) -> Room:
-        """Return the line before the engines of `service`."""
-        return self._rooms.setdefault(service, Room())
+    def of(self, service: str) -> ServiceQueue:
+        """Return the queue for the engines of `service`; create it if needed."""
+        return self._queues.setdefault(service, ServiceQueue())
 
-    def changed(self) -> None:
-        """Note that some engine may have room."""
-        for room in self._rooms.values():
-            room.wake()
+    def wake_all(self) -> None:
+        """Wake the first prompt of each queue: some engine may have memory again."""
+        for queue in self._queues.values():
+            queue.wake_first()
--- a/packages/node/src/fielddrift_node/serving/send_gate.py
+++ b/packages/node/src/fielddrift_node/serving/send_gate.py
@@ -38,7 +38,7 @@
         self._cold.sent(instance, now)
         self._limits.sent(instance, now)
 
-    def soonest(self, instances: Iterable[Instance], now: float) -> float | None:
+    def shortest_wait(self, instances: Iterable[Instance], now: float) -> float | None:
         """Return the seconds until one of `instances` may be sent to, None where none is known."""
         waits = [self._wait(instance, now) for instance in instances]
         return min((wait for wait in waits if math.isfinite(wait)), default=None)
--- a/packages/node/src/fielddrift_node/serving/settings.py
+++ b/packages/node/src/fielddrift_node/serving/settings.py
@@ -4,10 +4,10 @@
 
 from typing import NamedTuple
 
-__all__ = ["Bounds", "NodeSettings", "SettingsFault"]
+__all__ = ["Bounds", "NodeSettings", "SettingsError"]
 
 
-class SettingsFault(Exception):
+class SettingsError(Exception):
     """Settings that cannot be used; the message names the place and the value."""
 
 
@@ -16,7 +16,7 @@
 
     `drain` bounds new work at a target after its leaving was told, `grace`
     how long a stop may take, `turn` the pause between orders of two holders,
-    `weights` how long requests may begin on older weights, `entry_keep` how
+    `weights` how long requests may begin on older weights, `entry_cache` how
     long callers keep an entry answer.  Repeated sends within `retry_window`
     are at most `retry_ratio` of the requests and `retry_slack`.  `change` is the time
     after which a change of the configuration must be in force.  A cold target gets at most
@@ -28,9 +28,9 @@
     retry_ratio: float
     retry_window: float
     retry_slack: float
-    turn: float
+    handover_pause: float
     weights: float
-    entry_keep: float
+    entry_cache: float
     change: float = 2.0
     cold_overage: float = 1.0
     cold_slack: float = 0.0
--- a/packages/node/src/fielddrift_node/serving/sharing.py
+++ b/packages/node/src/fielddrift_node/serving/sharing.py
@@ -23,7 +23,7 @@
 from ..web.client import Client, ExchangeError, Timeouts
 from ..web.messages import Headers
 from ..web.server import Request, Responder
-from .ports import OutOfReach
+from .ports import RemoteCallError
 from .views import Views
 
 __all__ = ["KeptAsk", "KeptCopy", "OperatorCopy", "PeerHandler", "Peers", "TargetCopy"]
@@ -173,7 +173,7 @@
 
 
 class Peers:
-    """Ask other nodes for views; raise `OutOfReach`."""
+    """Ask other nodes for views; raise `RemoteCallError`."""
 
     def __init__(self, *, client: Client) -> None:
         self._client = client
@@ -199,10 +199,10 @@
             if error.reason == "timeout":
                 # Paths fall silent together: the next neighbour is asked over a new connection.
                 self._client.close()
-            raise OutOfReach(f"node {node.name}: {error}") from None
+            raise RemoteCallError(f"node {node.name}: {error}") from None
         if reply.head.status != 200:
-            raise OutOfReach(f"node {node.name}: status {reply.head.status}")
+            raise RemoteCallError(f"node {node.name}: status {reply.head.status}")
         try:
             return msgspec.msgpack.decode(reply.body, type=kind)
         except msgspec.DecodeError as error:
-            raise OutOfReach(f"node {node.name}: not understood: {error}") from None
+            raise RemoteCallError(f"node {node.name}: not understood: {error}") from None
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -15,7 +15,7 @@
 
 from .kept import salt_of
 from .metrics import Metrics
-from .ports import OutOfReach, TargetDialect
+from .ports import RemoteCallError, TargetDialect
 from .sharing import KeptAsk, KeptCopy, Peers
 from .views import FETCH_SECONDS, Views
 
@@ -186,7 +186,7 @@
                     _log.info("dependency regained", what="store host", store=view.traits.address)
                 lost = False
                 await asyncio.sleep(_PAUSE_SECONDS)
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 if not lost:
                     address = view.traits.address
                     _log.warning(
@@ -197,7 +197,7 @@
                 rest = self._rng.uniform(_REST_SECONDS / 2, _REST_SECONDS)
                 await asyncio.sleep(max(rest, self._paused(view, error)))
 
-    def _paused(self, view: StoreView, error: OutOfReach | None = None) -> float:
+    def _paused(self, view: StoreView, error: RemoteCallError | None = None) -> float:
         """Return the seconds for which a store wants no call, by what `error` says too."""
         now = asyncio.get_running_loop().time()
         address, pauses = view.traits.address, self._views.pauses
@@ -227,7 +227,7 @@
             return
         try:
             copies = await self._peers.kept(node, questions)
-        except OutOfReach as error:
+        except RemoteCallError as error:
             _log.info("reader not reached", reader=node.name, error=str(error))
             self._unreached[source] = asyncio.get_running_loop().time() + _UNREACHED_SECONDS
             return
@@ -249,7 +249,7 @@
     # --- one store --------------------------------------------------------------
 
     async def _list(self, view: StoreView) -> None:
-        listed = await self._targets.kept_list(view.traits)
+        listed = await self._targets.store_contents(view.traits)
         now = asyncio.get_running_loop().time()
         view.listed(
             listed.life,
@@ -267,7 +267,7 @@
         )
 
     async def _hear(self, view: StoreView) -> None:
-        events = await self._targets.kept_events(view.traits, view.following, _WAIT_SECONDS)
+        events = await self._targets.store_changes(view.traits, view.following, _WAIT_SECONDS)
         now = asyncio.get_running_loop().time()
         if events.life != view.life or events.gap:
             _log.info(
@@ -314,7 +314,7 @@
             parts = [(salt, Part(part, 0)) for salt, part in batch]
             try:
                 done = await self._targets.free(view.traits, parts, view.life)
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 self._paused(view, error)
                 raise
             self._metrics.freed.inc(len(batch) if done else 0)
--- a/packages/node/src/fielddrift_node/serving/target_feed.py
+++ b/packages/node/src/fielddrift_node/serving/target_feed.py
@@ -14,7 +14,7 @@
 from fielddrift_core.target_registry import Instance
 
 from .feeds import Feed, FeedTools
-from .ports import HistoryGone, OutOfReach
+from .ports import HistoryTruncated, RemoteCallError
 from .target_listing import Listing
 
 __all__ = ["TargetFeed"]
@@ -71,15 +71,15 @@
             self._wake.clear()
             try:
                 seconds = await self._turn()
-            except HistoryGone as gone:
+            except HistoryTruncated as gone:
                 _log.info("history gone", what="target entries", after=self._after)
                 self._after = None
-                if gone.went_back:
+                if gone.store_restored:
                     now = asyncio.get_running_loop().time()
                     self._views.registry.store_went_back(now)
                     self._lost_at = now
                 continue
-            except OutOfReach as error:
+            except RemoteCallError as error:
                 self._lost_at = asyncio.get_running_loop().time()
                 self._give_up("nobody", away=True)
                 await self._back_off(error)
@@ -130,7 +130,7 @@
         asked_at = asyncio.get_running_loop().time()
         try:
             copy = await self._peers.targets(chosen)
-        except OutOfReach as error:
+        except RemoteCallError as error:
             _log.info("reader not reached", reader=chosen.name, error=str(error))
             return False
         if copy.row < self._views.targets_row:
@@ -140,8 +140,8 @@
         lapsed = {name: asked_at + seconds for name, seconds in copy.lapsed.items()}
         # An entry that the store has lost is held, until its target has written it again.
         row = self._views.targets_row
-        went_back = row > 0 and era_of(copy.row) > era_of(row)
-        lost = went_back or self._lost_at is not None
+        store_restored = row > 0 and era_of(copy.row) > era_of(row)
+        lost = store_restored or self._lost_at is not None
         lost = lost or self._views.registry.in_respite(asked_at)
         self._note_cold(copy.entries, asked_at)
         self._views.registry.copied(copy.entries, copy.leaving, lapsed, lost=lost)
@@ -159,7 +159,7 @@
         return True
 
     async def _read(self) -> None:
-        news = await self._platform.target_news(self._after)
+        news = await self._platform.target_changes(self._after)
         now = asyncio.get_running_loop().time()
         registry = self._views.registry
         if self._lost_at is not None:
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -10,14 +10,14 @@
 
 from ..web.client import Exchange, ExchangeError
 from ..web.messages import ResponseHead
-from .call import Call, Refused, Tools
-from .ports import Send, Signs
+from .call import Call, Refused, ServingContext
+from .ports import OutgoingRequest, ResponseInfo
 
-__all__ = ["Attempts", "TryFailed", "send_once"]
+__all__ = ["Attempts", "AttemptFailed", "send_once"]
 
-MOST_CONNECTS = 4
+MAX_CONNECT_FAILURES = 4
 """Targets to which no connection came up, before a request is refused."""
-CONNECT_SECONDS = 0.35
+CONNECT_TIMEOUT_SECONDS = 0.35
 """A connection within a region takes some ms; a lost opening packet is sent again after 1 s."""
 _LEAST_CONNECTIONS = 4
 """Connections to a target that a node may have, however many nodes there are."""
@@ -29,7 +29,7 @@
 _log = structlog.get_logger()
 
 
-class TryFailed(Exception):
+class AttemptFailed(Exception):
     """One sending that gave no answer to deliver.
 
     `reached` is False when no byte left; `not_run` is proof that it did not
@@ -55,9 +55,9 @@
 class Attempts:
     """Count a request's sendings against its route's limit and the shared budget."""
 
-    def __init__(self, *, call: Call, tools: Tools) -> None:
+    def __init__(self, *, call: Call, context: ServingContext) -> None:
         self._call = call
-        self._tools = tools
+        self._context = context
         self._reached = 0
         self._connects = 0
         self._instance: Instance | None = None
@@ -70,31 +70,31 @@
         Raise `Refused` when the budget has no room for it, or the request is held back.
         """
         # Since it came in, it may have ended its targets: at other nodes too.
-        self._tools.crashes.record_send(self._call)
+        self._context.crashes.record_send(self._call)
         now = asyncio.get_running_loop().time()
-        budget = self._tools.budget(self._call.service.name)
+        budget = self._context.budget(self._call.service.name)
         if self._reached == 0:
             budget.record_first(now)
-        elif not budget.spend(now, nodes=self._tools.views.nodes):
+        elif not budget.spend(now, nodes=self._context.views.nodes):
             raise Refused(self._refusal("repeated sends are used up", None))
-        self._tools.gate.sent(instance, now)
-        self._tools.metrics.sends.inc()
+        self._context.gate.sent(instance, now)
+        self._context.metrics.sends.inc()
         self._instance = instance
         self._call.trace.sent_at = now
         self.tried.add(instance.name)
         self._call.trace.targets.append(instance.name)
         self._call.trace.connection = ""
 
-    def failed(self, failure: TryFailed) -> None:
+    def failed(self, failure: AttemptFailed) -> None:
         """Take a failure; raise `Refused` unless another sending may follow."""
         call = self._call
         call.trace.reasons.append(failure.reason)
-        self._tools.metrics.retries.inc(of=failure.reason)
-        if call.trace.broke_inside:
-            self._tools.metrics.cut_events.inc()
+        self._context.metrics.retries.inc(label_value=failure.reason)
+        if call.trace.broke_mid_event:
+            self._context.metrics.cut_events.inc()
         _log.info(
             "send failed",
-            request=call.ask.request_id,
+            request=call.parsed.request_id,
             fingerprint=call.fingerprint,
             target=call.trace.targets[-1],
             reason=failure.reason,
@@ -103,7 +103,7 @@
             after_ms=round((asyncio.get_running_loop().time() - call.trace.sent_at) * 1000),
             connection=call.trace.connection,
             answer_begun=call.trace.first_event is not None,
-            **call.trace.handed_on(),
+            **call.trace.relay_progress(),
         )
         self._watch(failure)
         if failure.reached:
@@ -111,18 +111,22 @@
         else:
             self._connects += 1
         may = failure.not_run or call.route.repeatable
-        if not may or self._reached >= call.route.attempts or self._connects >= MOST_CONNECTS:
+        if (
+            not may
+            or self._reached >= call.route.attempts
+            or self._connects >= MAX_CONNECT_FAILURES
+        ):
             raise self.exhausted(str(failure))
 
-    def _watch(self, failure: TryFailed) -> None:
+    def _watch(self, failure: AttemptFailed) -> None:
         """Tell whoever watches for requests that end their targets."""
         instance = self._instance
         assert instance is not None
         if failure.reached:
             sent_at = self._call.trace.sent_at
-            self._tools.crashes.failed(self._call, instance, failure.reason, sent_at)
+            self._context.crashes.failed(self._call, instance, failure.reason, sent_at)
         elif failure.refused:
-            self._tools.crashes.refused(instance)
+            self._context.crashes.refused(instance)
 
     def exhausted(self, detail: str = "no target can take it") -> Refused:
         """Return the end of a request that no target can serve, or go on with.
@@ -131,8 +135,10 @@
         of this node keeps nobody from the others.
         """
         now = asyncio.get_running_loop().time()
-        serving = self._tools.views.registry.serving(self._call.service.name)
-        return Refused(self._refusal(detail, self._tools.gate.soonest(serving, now) or None))
+        serving = self._context.views.registry.serving(self._call.service.name)
+        return Refused(
+            self._refusal(detail, self._context.gate.shortest_wait(serving, now) or None)
+        )
 
     def more(self) -> bool:
         """Return whether the route allows another sending."""
@@ -143,21 +149,23 @@
         return Refusal(ErrorKind.NO_TARGET, detail, ran, return_after)
 
 
-async def send_once(tools: Tools, send: Send, call: Call) -> tuple[Exchange, ResponseHead]:
-    """Send, and return the exchange once its head is here; raise `TryFailed`.
+async def send_once(
+    context: ServingContext, send: OutgoingRequest, call: Call
+) -> tuple[Exchange, ResponseHead]:
+    """Send, and return the exchange once its head is here; raise `AttemptFailed`.
 
     An answer that proves that nothing ran is a failure here.
     """
     address = send.instance.address
-    data = tools.targets.request(send)
+    data = context.targets.request(send)
     exchange: Exchange | None = None
     try:
-        exchange = await tools.client.begin(
+        exchange = await context.client.begin(
             address,
             data,
-            connect_seconds=CONNECT_SECONDS,
-            accepts=lambda head: tools.targets.answers(send, head),
-            most_open=_most_open(call, tools),
+            connect_seconds=CONNECT_TIMEOUT_SECONDS,
+            accepts=lambda head: context.targets.answers(send, head),
+            most_open=_most_open(call, context),
             most_idle=None if call.route.repeatable else _UNSAFE_MOST_IDLE,
         )
         call.trace.connection = "kept" if exchange.kept else "new"
@@ -167,7 +175,7 @@
     except ExchangeError as error:
         if exchange is not None:
             exchange.cancel()
-        raise TryFailed(
+        raise AttemptFailed(
             str(error),
             reason=error.reason,
             reached=error.sent,
@@ -179,33 +187,33 @@
             exchange.cancel()
         raise
     call.trace.framed = head.framed
-    signs = tools.targets.signs(send, head)
-    served = not signs.not_started and head.status < _FAILED
-    tools.notices.heard(
-        send.instance, signs.notice, served_at=call.trace.sent_at if served else None
+    response_info = context.targets.response_info(send, head)
+    served = not response_info.not_started and head.status < _FAILED
+    context.notices.heard(
+        send.instance, response_info.notice, served_at=call.trace.sent_at if served else None
     )
-    if not signs.not_started:
+    if not response_info.not_started:
         return exchange, head
     call.trace.unproved -= 1
     await _drain(exchange)
-    reason = _not_run_reason(signs, send)
+    reason = _not_run_reason(response_info, send)
     detail = f"target {send.instance.name}: status {head.status}, not run"
-    raise TryFailed(detail, reason=reason, reached=True, not_run=True)
+    raise AttemptFailed(detail, reason=reason, reached=True, not_run=True)
 
 
-def _not_run_reason(signs: Signs, send: Send) -> str:
-    if not signs.misdirected:
+def _not_run_reason(response_info: ResponseInfo, send: OutgoingRequest) -> str:
+    if not response_info.misdirected:
         return "not-started"
-    if signs.instance and signs.instance != send.instance.target:
+    if response_info.instance and response_info.instance != send.instance.target:
         return "replaced"
     return "other-weights"
 
 
-def _most_open(call: Call, tools: Tools) -> int | None:
+def _most_open(call: Call, context: ServingContext) -> int | None:
     """Return this node's part of the connections that a target takes from all callers."""
     if not call.service.connections:
         return None
-    return max(_LEAST_CONNECTIONS, call.service.connections // tools.views.nodes)
+    return max(_LEAST_CONNECTIONS, call.service.connections // context.views.nodes)
 
 
 async def _drain(exchange: Exchange) -> None:
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -25,7 +25,7 @@
 from fielddrift_core.workload import Lateness, PeakRate, TargetHealth, Workload
 
 from .ports import NamedWeights
-from .rooms import Rooms
+from .rooms import ServiceQueues
 
 __all__ = ["PAUSE_SECONDS", "EvacuationChange", "Placeable", "Views"]
 
@@ -87,7 +87,7 @@
         self.memory = EngineMemory()
         self.pace = EngineSlowdowns()
         self.loading = LoadingEngines()
-        self.rooms = Rooms()
+        self.service_queues = ServiceQueues()
         self.crashes = CrashHistory()
         self.weights: dict[tuple[str, str], int] = {}
         """Weights by (instance, model), where newer than the instance's entry."""
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -25,9 +25,9 @@
     retry_ratio=0.2,
     retry_window=10.0,
     retry_slack=20.0,
-    turn=0.3,
+    handover_pause=0.3,
     weights=10.0,
-    entry_keep=5.0,
+    entry_cache=5.0,
 )
 WAIT_SECONDS = 10.0
 
@@ -236,7 +236,7 @@
             # A send is given up for silence after twice the route's aim.
             each["target-latency-ms"] = round(seconds * 500)
         self.fleet.configure()
-        connects = mock.patch("fielddrift_node.serving.trying.CONNECT_SECONDS", seconds)
+        connects = mock.patch("fielddrift_node.serving.trying.CONNECT_TIMEOUT_SECONDS", seconds)
         connects.start()
         self.addCleanup(connects.stop)
 
--- a/tests/target_views.py
+++ b/tests/target_views.py
@@ -18,7 +18,7 @@
 from fielddrift_core.target_registry import RESPITE_SECONDS, Instance
 from fielddrift_node.serving.feeds import FeedTools
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
-from fielddrift_node.serving.ports import HistoryGone, OutOfReach, TargetNews
+from fielddrift_node.serving.ports import HistoryTruncated, RemoteCallError, TargetChanges
 from fielddrift_node.serving.sharing import PeerHandler, TargetCopy
 from fielddrift_node.serving.target_feed import TargetFeed
 from fielddrift_node.serving.views import Views
@@ -66,16 +66,16 @@
         """Forget the history."""
         self._forgotten = self._version
 
-    def news(self, after: int | None) -> TargetNews:
+    def news(self, after: int | None) -> TargetChanges:
         """Return what changed after `after`."""
         if after is None:
-            return TargetNews(tuple(self.entries.values()), (), self._version, whole=True)
+            return TargetChanges(tuple(self.entries.values()), (), self._version, whole=True)
         if after < self._forgotten:
-            raise HistoryGone("targets")
+            raise HistoryTruncated("targets")
         changed = [name for name, row in self.rows.items() if row > after]
         entries = tuple(self.entries[name] for name in changed if name in self.entries)
         ended = tuple(name for name in changed if name not in self.entries)
-        return TargetNews(entries, ended, self._version, whole=False)
+        return TargetChanges(entries, ended, self._version, whole=False)
 
     def _changed(self, name: str) -> None:
         self._version += 1
@@ -121,13 +121,13 @@
         """Return the names of the targets that get new work."""
         return {target.name for target in self.views.registry.serving(SERVICE)}
 
-    async def target_news(self, after: int | None) -> TargetNews:
+    async def target_changes(self, after: int | None) -> TargetChanges:
         """Answer in place of the platform."""
         await asyncio.sleep(_CALL_SECONDS)
         now = asyncio.get_running_loop().time()
         if self.fleet.store.down or self.cut_off:
             self.failed_at = now
-            raise OutOfReach("store: status 503")
+            raise RemoteCallError("store: status 503")
         # Whose other reading hangs is not relied on; here it goes as this one does.
         self.views.operators_at = now
         before = self.lists
@@ -143,7 +143,7 @@
         await asyncio.sleep(_CALL_SECONDS)
         other = self.fleet.nodes.get(node.name)
         if other is None or other.mute or self.fleet.apart(self.name, node.name):
-            raise OutOfReach(f"node {node.name}: no answer")
+            raise RemoteCallError(f"node {node.name}: no answer")
         data = msgspec.msgpack.encode(other.handler._targets([]))
         await asyncio.sleep(self.fleet.copy_seconds())
         return msgspec.msgpack.decode(data, type=TargetCopy)
--- a/tests/test_any_break.py
+++ b/tests/test_any_break.py
@@ -103,7 +103,7 @@
         self.faults.clear()
         views = self.node.node.views
         await eventually(lambda: views.workload.own() == {})
-        self.assertEqual(len(views.rooms.of("engines").line), 0)
+        self.assertEqual(len(views.service_queues.of("engines").queue), 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_begin_watch.py
+++ b/tests/test_begin_watch.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from fielddrift_node.serving.begin_watch import BeginWatch
+from fielddrift_node.serving.begin_watch import StaleWeightsTimeout
 from fielddrift_node.serving.ports import NamedWeights
 from fielddrift_node.serving.views import Views
 
@@ -29,7 +29,7 @@
     async def _waits(self, bound: float) -> bool:
         views = Views()
         views.take_weights(NamedWeights("m", 2), self.loop.time() - _NAMED_BEFORE)
-        watch = BeginWatch(views=views, model="m", weights=1, bound=bound)
+        watch = StaleWeightsTimeout(views=views, model="m", weights=1, bound=bound)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(_PATIENCE) as limit:
                 with watch.over(limit):
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -27,8 +27,8 @@
 
 
 async def _choose(fleet: Fleet) -> EngineChoice:
-    placing, tools, call = placing_of(fleet)
-    return await placing.place(call, Attempts(call=call, tools=tools), resumes=False)
+    placing, context, call = placing_of(fleet)
+    return await placing.place(call, Attempts(call=call, context=context), resumes=False)
 
 
 class TestChoice(unittest.IsolatedAsyncioTestCase):
@@ -59,22 +59,22 @@
                 self.assertLessEqual(priced.call_count, 2 * MAX_CANDIDATES)
 
     async def test_an_engine_far_from_all_others_is_found_when_only_it_has_room(self) -> None:
-        placing, tools, call = placing_of(_LARGE)
-        assert call.ask.prompt is not None
-        for engine in tools.views.registry.all():
+        placing, context, call = placing_of(_LARGE)
+        assert call.parsed.prompt is not None
+        for engine in context.views.registry.all():
             if engine.name != "engine-59":
-                tools.views.workload.begin(engine.name, "run", 0, 40_000)
-        choice = await placing.place(call, Attempts(call=call, tools=tools), resumes=False)
+                context.views.workload.begin(engine.name, "run", 0, 40_000)
+        choice = await placing.place(call, Attempts(call=call, context=context), resumes=False)
         self.assertEqual(choice.instance.name, "engine-59")
 
     async def test_failing_engines_with_room_are_not_taken_for_working_ones(self) -> None:
-        placing, tools, call = placing_of(_LARGE)
-        now = call.began
-        for number, engine in enumerate(tools.views.registry.all()):
+        placing, context, call = placing_of(_LARGE)
+        now = call.arrived_at
+        for number, engine in enumerate(context.views.registry.all()):
             if number < 10:
-                tools.views.health.failed(engine.name, now)
+                context.views.health.failed(engine.name, now)
             else:
-                tools.views.workload.begin(engine.name, "run", 0, 40_000)
+                context.views.workload.begin(engine.name, "run", 0, 40_000)
         self.assertIsNone(placing._fitting(call, set()))
 
 
--- a/tests/test_duty_eras.py
+++ b/tests/test_duty_eras.py
@@ -15,7 +15,7 @@
 from fielddrift_core.eras import era_of, mark, version_of
 from fielddrift_core.rollout import LEASE_SECONDS
 from fielddrift_node.serving.duty import Duty
-from fielddrift_node.serving.ports import Outcome, OutOfReach, RowWrite, SavedRow
+from fielddrift_node.serving.ports import RemoteCallError, RowWrite, SavedRow, WriteOutcome
 
 from .machines import explore
 from .test_duty_walk import EXAMPLES, NODES, TURN, DutyWalk, SlowTable
@@ -52,17 +52,17 @@
         self.era = self._table.store_era
         return [r._replace(version=mark(self.era, r.version)) for r in found], clock
 
-    async def write(self, table: str, writes: list[RowWrite]) -> Outcome:
+    async def write(self, table: str, writes: list[RowWrite]) -> WriteOutcome:
         (write,) = writes
         assert write.expect is not None
         if write.expect and era_of(write.expect) != self.era:
-            return Outcome(False, 0, 0.0)
+            return WriteOutcome(False, 0, 0.0)
         before = self.era
         plain = write._replace(expect=version_of(write.expect))
         outcome = await self._table.write(table, [plain])
         self.era = self._table.store_era
         if write.expect and self.era != before:
-            raise OutOfReach("a write under a condition met a new era")
+            raise RemoteCallError("a write under a condition met a new era")
         return outcome._replace(version=mark(self.era, outcome.version))
 
 
--- a/tests/test_duty_walk.py
+++ b/tests/test_duty_walk.py
@@ -10,7 +10,7 @@
 
 from fielddrift_core.rollout import LEASE_SECONDS
 from fielddrift_node.serving.duty import Duty
-from fielddrift_node.serving.ports import Outcome, OutOfReach, RowWrite, SavedRow
+from fielddrift_node.serving.ports import RemoteCallError, RowWrite, SavedRow, WriteOutcome
 
 from .machines import Walk, explore
 
@@ -53,21 +53,21 @@
         self._travel()
         return found, clock
 
-    async def write(self, table: str, writes: list[RowWrite]) -> Outcome:
+    async def write(self, table: str, writes: list[RowWrite]) -> WriteOutcome:
         """Write under the condition, unless the call or its answer is lost."""
         rng = self._walk.rng
         self._travel()
         if rng.random() < 0.1:
-            raise OutOfReach("lost on its way")
+            raise RemoteCallError("lost on its way")
         if rng.random() < 0.1:
             self._late.append(writes[0])
-            raise OutOfReach("carried out later")
+            raise RemoteCallError("carried out later")
         done = self._apply(writes[0])
         version = self._version
         self._travel()
         if rng.random() < 0.1:
-            raise OutOfReach("answer lost")
-        return Outcome(done, version, self._walk.now)
+            raise RemoteCallError("answer lost")
+        return WriteOutcome(done, version, self._walk.now)
 
     def carry_out(self) -> None:
         """Carry out a write whose caller heard nothing, if its condition still holds."""
@@ -158,7 +158,7 @@
         def run() -> None:
             try:
                 call(self.duties[number]).send(None)
-            except (StopIteration, OutOfReach):
+            except (StopIteration, RemoteCallError):
                 return
             raise AssertionError("the call waits for something")
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -214,12 +214,12 @@
         for name in ("e-a", "e-b"):
             views.workload.begin(name, "full", 0, 60_000)
         call = asyncio.ensure_future(ask(node, "/chat/1", **prompt()))
-        await eventually(lambda: len(views.rooms.of("engines").line) == 1)
+        await eventually(lambda: len(views.service_queues.of("engines").queue) == 1)
         views.evacuations.read(news("a"), 1 << 40, now)
         views.note_evacuations(now)
         for name in ("e-a", "e-b"):
             views.workload.end(name, "full")
-        views.rooms.changed()
+        views.service_queues.wake_all()
         self.assertEqual((await call).status, 200)
         self.assertEqual(self.ran("a"), 0)
 
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -18,7 +18,7 @@
 from fielddrift_core.prompt import Part
 from fielddrift_core.stream import EventFramer
 from fielddrift_core.waiting import PromptQueue, WaitingPrompt
-from fielddrift_node.serving.ports import TargetNews
+from fielddrift_node.serving.ports import TargetChanges
 from fielddrift_node.web.client import Client, Timeouts, _Connection
 from fielddrift_node.web.messages import Headers
 from fielddrift_standins import worker as standin
@@ -316,17 +316,17 @@
     async def test_a_reading_from_before_a_pause_is_not_the_one_after_it(self) -> None:
         """`again` asks for a reading at once; the end of the one under way cleared that."""
         node = ViewNode(name="node-1", boot=1, fleet=mock.Mock(spec=TargetFleet))
-        calls: list[asyncio.Future[TargetNews]] = []
+        calls: list[asyncio.Future[TargetChanges]] = []
 
-        async def news(after: int | None) -> TargetNews:
+        async def news(after: int | None) -> TargetChanges:
             calls.append(asyncio.get_running_loop().create_future())
             return await calls[-1]
 
-        node.feed._platform = SimpleNamespace(target_news=news)  # type: ignore[assignment]
+        node.feed._platform = SimpleNamespace(target_changes=news)  # type: ignore[assignment]
         running = asyncio.ensure_future(node.feed.run())
         self.addCleanup(running.cancel)
         await eventually(lambda: len(calls) == 1)
         node.feed.again()
-        calls[0].set_result(TargetNews((), (), 1, whole=True))
+        calls[0].set_result(TargetChanges((), (), 1, whole=True))
         await asyncio.sleep(0.05)
         self.assertEqual(len(calls), 2)
--- a/tests/test_named_rows.py
+++ b/tests/test_named_rows.py
@@ -11,7 +11,13 @@
 from fielddrift_core.catalog import Catalog
 from fielddrift_core.rollout import NamingTimes, StoreClock, times_to_save
 from fielddrift_node.serving.named_rows import TABLE, NamedRows
-from fielddrift_node.serving.ports import NamedWeights, Outcome, OutOfReach, RowWrite, SavedRow
+from fielddrift_node.serving.ports import (
+    NamedWeights,
+    RemoteCallError,
+    RowWrite,
+    SavedRow,
+    WriteOutcome,
+)
 from fielddrift_node.serving.views import Views
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -47,24 +53,24 @@
         self._called(table, "read")
         return list(self.rows_by_key.values()), _platform_now()
 
-    async def write(self, table: str, writes: list[RowWrite]) -> Outcome:
+    async def write(self, table: str, writes: list[RowWrite]) -> WriteOutcome:
         self._called(table, "write")
         (write,) = writes
         held = self.rows_by_key.get(write.key, SavedRow(write.key, b"", 0))
         if held.version != write.expect:
-            return Outcome(False, self._version, _platform_now())
+            return WriteOutcome(False, self._version, _platform_now())
         assert write.value is not None
         self.put(write.key, write.value)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            raise OutOfReach("answer lost")
-        return Outcome(True, self._version, _platform_now())
+            raise RemoteCallError("answer lost")
+        return WriteOutcome(True, self._version, _platform_now())
 
     def _called(self, table: str, what: str) -> None:
         assert table == TABLE, table
         self.calls.append(what)
         if self.down:
-            raise OutOfReach("refused", sure=True)
+            raise RemoteCallError("refused", not_executed=True)
 
 
 def _now() -> float:
@@ -211,7 +217,7 @@
         node = Node(self.table)
         node.hears(2, seconds_ago=3.0)
         self.table.lose_answers = 1
-        with self.assertRaises(OutOfReach):
+        with self.assertRaises(RemoteCallError):
             await node.rows.save("m")
         kept = self.table.rows_by_key["m"]
         await node.rows.save("m")
--- a/tests/test_named_rows_drift.py
+++ b/tests/test_named_rows_drift.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from fielddrift_node.serving.named_rows import NamedRows
-from fielddrift_node.serving.ports import NamedWeights, Outcome, RowWrite, SavedRow
+from fielddrift_node.serving.ports import NamedWeights, RowWrite, SavedRow, WriteOutcome
 from fielddrift_node.serving.views import Views
 
 from .virtual_time import VirtualLoop
@@ -32,15 +32,15 @@
     async def rows(self, table: str) -> tuple[list[SavedRow], float]:
         return list(self.rows_by_key.values()), self.clock
 
-    async def write(self, table: str, writes: list[RowWrite]) -> Outcome:
+    async def write(self, table: str, writes: list[RowWrite]) -> WriteOutcome:
         (write,) = writes
         held = self.rows_by_key.get(write.key)
         if (held.version if held else 0) != write.expect:
-            return Outcome(False, self._version, self.clock)
+            return WriteOutcome(False, self._version, self.clock)
         assert write.value is not None
         self._version += 1
         self.rows_by_key[write.key] = SavedRow(write.key, write.value, self._version)
-        return Outcome(True, self._version, self.clock)
+        return WriteOutcome(True, self._version, self.clock)
 
 
 def _rows(table: DriftingTable, views: Views) -> NamedRows:
--- a/tests/test_new_reader.py
+++ b/tests/test_new_reader.py
@@ -10,7 +10,7 @@
 from fielddrift_core.readers import ReadState
 from fielddrift_node.serving.feeds import FeedTools
 from fielddrift_node.serving.operator_feed import OperatorFeed
-from fielddrift_node.serving.ports import NamedWeights, OperatorNews
+from fielddrift_node.serving.ports import NamedWeights, OperatorChanges
 from fielddrift_node.serving.sharing import OperatorCopy
 from fielddrift_node.serving.views import Views
 
@@ -32,10 +32,10 @@
     def __init__(self) -> None:
         self.asked_at: list[float] = []
 
-    async def operator_news(self, after: int | None, wait: float) -> OperatorNews:
+    async def operator_changes(self, after: int | None, wait: float) -> OperatorChanges:
         self.asked_at.append(asyncio.get_running_loop().time())
         await asyncio.sleep(_CALL_SECONDS + wait)
-        return OperatorNews(None, (), _ROW)
+        return OperatorChanges(None, (), _ROW)
 
     async def operators(self, node: Neighbour) -> OperatorCopy:
         await asyncio.sleep(_CALL_SECONDS)
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -20,7 +20,7 @@
 from fielddrift_core.silent_rows import SilentRows
 from fielddrift_node.serving import membership as membership_module
 from fielddrift_node.serving.membership import Membership
-from fielddrift_node.serving.ports import Outcome, RowWrite, SavedRow
+from fielddrift_node.serving.ports import RowWrite, SavedRow, WriteOutcome
 from fielddrift_standins.fleet import HOST, free_port
 from fielddrift_standins.worker import Worker
 
@@ -80,18 +80,18 @@
         self.after_read()
         return found, 0.0
 
-    async def write(self, table: str, writes: Sequence[RowWrite]) -> Outcome:
+    async def write(self, table: str, writes: Sequence[RowWrite]) -> WriteOutcome:
         self.calls += 1
         for write in writes:
             held = self.rows_by_key.get(write.key)
             if write.expect is not None and write.expect != (held.version if held else 0):
-                return Outcome(False, self.version, 0.0)
+                return WriteOutcome(False, self.version, 0.0)
         for write in writes:
             if write.value is None:
                 del self.rows_by_key[write.key]
             else:
                 self.put(write.key, write.value)
-        return Outcome(True, self.version, 0.0)
+        return WriteOutcome(True, self.version, 0.0)
 
 
 class MembershipTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_operator_feed.py
+++ b/tests/test_operator_feed.py
@@ -11,7 +11,7 @@
 from fielddrift_core.readers import ReadState
 from fielddrift_node.serving.feeds import FeedTools
 from fielddrift_node.serving.operator_feed import OperatorFeed
-from fielddrift_node.serving.ports import NamedWeights, OperatorNews, OutOfReach
+from fielddrift_node.serving.ports import NamedWeights, OperatorChanges, RemoteCallError
 from fielddrift_node.serving.sharing import OperatorCopy, PeerHandler, Peers
 from fielddrift_node.serving.views import Views
 from fielddrift_node.web.client import Client
@@ -48,7 +48,7 @@
             await asyncio.sleep(3600)
         if node.name in self._hung:
             self.while_hung()
-            raise OutOfReach(f"node {node.name}: no answer")
+            raise RemoteCallError(f"node {node.name}: no answer")
         return OperatorCopy(None, {"m": self._rows[node.name]}, self._rows[node.name])
 
 
@@ -57,7 +57,7 @@
 
     calls = 0
 
-    async def operator_news(self, after: int | None, wait: float) -> Awaitable[None]:
+    async def operator_changes(self, after: int | None, wait: float) -> Awaitable[None]:
         """Never answer."""
         return await asyncio.sleep(3600)
 
@@ -158,7 +158,7 @@
         for node in self.nodes:
             await self.peers.operators(node)
         self.assertEqual([relay.silence() for relay in self.relays], [1, 1])
-        with self.assertRaises(OutOfReach):
+        with self.assertRaises(RemoteCallError):
             await self.peers.operators(self.nodes[0])
         for node in reversed(self.nodes):
             self.assertEqual((await self.peers.operators(node)).named, {"m": 7})
@@ -172,14 +172,14 @@
     def __init__(self) -> None:
         self.ended = 0
 
-    async def operator_news(self, after: int | None, wait: float) -> OperatorNews:
+    async def operator_changes(self, after: int | None, wait: float) -> OperatorChanges:
         """Answer, slowly."""
         if wait:
             await asyncio.sleep(3600)
         for _ in range(SLOW_TURNS):
             await asyncio.sleep(0)
         self.ended += 1
-        return OperatorNews(None, (NamedWeights("m", self.ended),), self.ended)
+        return OperatorChanges(None, (NamedWeights("m", self.ended),), self.ended)
 
 
 class TestHurry(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_outage_calls.py
+++ b/tests/test_outage_calls.py
@@ -24,13 +24,13 @@
         self.fleet = TargetFleet(loop=loop, rng=random.Random(1))
         self.addCleanup(self.fleet.close)
         self.calls: dict[str, int] = {}
-        ask = ViewNode.target_news
+        ask = ViewNode.target_changes
 
         async def count(node: ViewNode, after: int | None) -> object:
             self.calls[node.name] = self.calls.get(node.name, 0) + 1
             return await ask(node, after)
 
-        self.enterContext(mock.patch.object(ViewNode, "target_news", count))
+        self.enterContext(mock.patch.object(ViewNode, "target_changes", count))
         self.fleet.store.enter("x")
         for number in range(_NODES):
             self.fleet.start(f"node-{number:02}")
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -16,8 +16,8 @@
 from fielddrift_core.target_notices import TargetNotice
 from fielddrift_core.target_registry import Instance
 from fielddrift_node.log import LineSink
-from fielddrift_node.serving.ports import Ask, BadAsk, Send
-from fielddrift_node.serving.settings import SettingsFault
+from fielddrift_node.serving.ports import InvalidRequest, OutgoingRequest, ParsedRequest
+from fielddrift_node.serving.settings import SettingsError
 from fielddrift_node.web.messages import Headers, RequestHead, ResponseHead
 from fielddrift_node.web.server import Request
 from fielddrift_platform.callers import PlatformCallers
@@ -96,7 +96,7 @@
         found = load(self._file(SETTINGS))
         self.assertEqual(found.store_address, "10.9.0.1:90")
         self.assertEqual((found.node.name, found.node.gossip_port), ("n1", 7000))
-        self.assertEqual((found.node.bounds.drain, found.node.bounds.entry_keep), (1.5, 4))
+        self.assertEqual((found.node.bounds.drain, found.node.bounds.entry_cache), (1.5, 4))
         # Views must be as fresh as the stricter of both asks.
         self.assertEqual((found.node.bounds.change, found.node.bounds.staleness), (1.2, 1.2))
 
@@ -108,7 +108,7 @@
             ("node-name = [", ("Invalid value",)),
         ):
             name = self._file(wrong)
-            with self.assertRaises(SettingsFault) as caught:
+            with self.assertRaises(SettingsError) as caught:
                 load(name)
             for word in (name, *words):
                 self.assertIn(word, str(caught.exception))
@@ -178,26 +178,26 @@
     def test_any_headers_are_read_or_refused(self, fields: list[tuple[bytes, bytes]]) -> None:
         head = RequestHead(b"POST", b"/x", Headers(fields), True)
         found = PlatformCallers().read(Request(head, b"", 0.0))
-        self.assertIsInstance(found, Ask | BadAsk)
+        self.assertIsInstance(found, ParsedRequest | InvalidRequest)
 
 
 class TestNotices(unittest.TestCase):
     """What a target says of itself, in the head of any answer to a send."""
 
-    def signs(self, status: int, *fields: tuple[bytes, bytes]) -> TargetNotice:
-        send = Send(ask=None, instance=_INSTANCE, seconds=1.0, customer="")  # type: ignore[arg-type]
+    def response_info(self, status: int, *fields: tuple[bytes, bytes]) -> TargetNotice:
+        send = OutgoingRequest(parsed=None, instance=_INSTANCE, seconds=1.0, customer="")  # type: ignore[arg-type]
         head = ResponseHead(status, Headers(fields), 0, True)
-        return PlatformTargets(client=None).signs(send, head).notice  # type: ignore[arg-type]
+        return PlatformTargets(client=None).response_info(send, head).notice  # type: ignore[arg-type]
 
     def test_each_header_is_read(self) -> None:
-        self.assertEqual(self.signs(200, (b"Server-Limit", b"1.5")).limit, 1.5)
-        self.assertEqual(self.signs(503, (b"Server-Limit", b"0")).limit, 0.0)
-        self.assertTrue(self.signs(200, (b"Server-Leaving", b"1")).leaving)
-        self.assertEqual(self.signs(503, (b"Retry-After", b"3")).pause, 3.0)
-        self.assertEqual(self.signs(429, (b"Retry-After", b"0.25")).pause, 0.25)
+        self.assertEqual(self.response_info(200, (b"Server-Limit", b"1.5")).limit, 1.5)
+        self.assertEqual(self.response_info(503, (b"Server-Limit", b"0")).limit, 0.0)
+        self.assertTrue(self.response_info(200, (b"Server-Leaving", b"1")).leaving)
+        self.assertEqual(self.response_info(503, (b"Retry-After", b"3")).pause, 3.0)
+        self.assertEqual(self.response_info(429, (b"Retry-After", b"0.25")).pause, 0.25)
 
     def test_a_success_asks_for_no_pause(self) -> None:
-        self.assertEqual(self.signs(200, (b"Retry-After", b"3")), TargetNotice())
+        self.assertEqual(self.response_info(200, (b"Retry-After", b"3")), TargetNotice())
 
     def test_what_is_no_number_says_nothing(self) -> None:
         for text in (
@@ -210,14 +210,14 @@
             b"Wed, 21 Oct 2026 07:28:00 GMT",
         ):
             fields = ((b"Server-Limit", text), (b"Retry-After", text), (b"Server-Leaving", text))
-            self.assertEqual(self.signs(503, *fields), TargetNotice(), text)
+            self.assertEqual(self.response_info(503, *fields), TargetNotice(), text)
 
     def test_another_target_at_the_address_speaks_of_itself(self) -> None:
         said = (b"Server-Leaving", b"1")
-        self.assertFalse(self.signs(421, said).leaving)
-        self.assertFalse(self.signs(421, said, (b"X-Instance-Id", b"other")).leaving)
-        self.assertFalse(self.signs(200, said, (b"X-Instance-Id", b"other")).leaving)
-        self.assertTrue(self.signs(421, said, (b"X-Instance-Id", b"i-1")).leaving)
+        self.assertFalse(self.response_info(421, said).leaving)
+        self.assertFalse(self.response_info(421, said, (b"X-Instance-Id", b"other")).leaving)
+        self.assertFalse(self.response_info(200, said, (b"X-Instance-Id", b"other")).leaving)
+        self.assertTrue(self.response_info(421, said, (b"X-Instance-Id", b"i-1")).leaving)
 
 
 class TestBytes(FleetCase):
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -11,7 +11,7 @@
 from fielddrift_core.neighbours import Heartbeat, Neighbour
 from fielddrift_core.readers import ReadState
 from fielddrift_core.target_registry import Instance
-from fielddrift_node.serving.ports import OutOfReach
+from fielddrift_node.serving.ports import RemoteCallError
 from fielddrift_node.serving.sharing import Peers, TargetCopy
 from fielddrift_node.web.client import Reply
 
@@ -73,7 +73,7 @@
         longer = msgspec.msgpack.encode([*msgspec.msgpack.decode(data), "more"])
         client = mock.Mock()
         client.call = mock.AsyncMock(return_value=Reply(mock.Mock(status=200), longer))
-        with self.assertRaisesRegex(OutOfReach, "not understood"):
+        with self.assertRaisesRegex(RemoteCallError, "not understood"):
             asyncio.run(Peers(client=client).targets(_ME))
 
     def test_a_new_node_understands_a_former_one(self) -> None:
--- a/tests/test_serving_metrics.py
+++ b/tests/test_serving_metrics.py
@@ -23,9 +23,9 @@
 class MetricsTest(unittest.TestCase):
     def test_counters_gauges_and_histograms_are_worded_for_scrapers(self) -> None:
         metrics = Metrics()
-        metrics.refusals.inc(of="overloaded")
-        metrics.refusals.inc(of="overloaded")
-        metrics.retries.inc(of="reset")
+        metrics.refusals.inc(label_value="overloaded")
+        metrics.refusals.inc(label_value="overloaded")
+        metrics.retries.inc(label_value="reset")
         metrics.nodes.set(7)
         for seconds in (0.01, 0.1, 0.11, 9.0):
             metrics.first_event.observe(seconds)
@@ -163,5 +163,5 @@
 
     async def test_a_long_id_is_cut_in_lines(self) -> None:
         trace = Trace()
-        trace.send_events(after="").feed(b"id: " + b"7" * 5000 + b"\ndata: x\n\n")
-        self.assertEqual(trace.handed_on()["last"], "7" * 40)
+        trace.begin_event_stream(after="").feed(b"id: " + b"7" * 5000 + b"\ndata: x\n\n")
+        self.assertEqual(trace.relay_progress()["last"], "7" * 40)
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -16,7 +16,7 @@
 from fielddrift_core.crashes import Crash
 from fielddrift_core.eras import mark
 from fielddrift_core.target_registry import RESPITE_SECONDS
-from fielddrift_node.serving.ports import HistoryGone, OutOfReach, RowWrite
+from fielddrift_node.serving.ports import HistoryTruncated, RemoteCallError, RowWrite
 from fielddrift_node.web.client import Reply
 from fielddrift_node.web.messages import Headers, ResponseHead
 from fielddrift_platform.store import PlatformStore
@@ -201,32 +201,32 @@
         marks = []
         for era, ver in ((0, 9), (1, 4), (2, 3)):
             self._answer(era, ver)
-            marks.append((await self.store.target_news(None)).version)
+            marks.append((await self.store.target_changes(None)).version)
         self.assertEqual(marks, sorted(marks))
 
     async def test_a_late_answer_of_an_older_era_is_not_believed(self) -> None:
         self._answer(3)
-        await self.store.target_news(None)
+        await self.store.target_changes(None)
         self._answer(2, 99)
-        with self.assertRaisesRegex(OutOfReach, "era 2"):
-            await self.store.target_news(None)
+        with self.assertRaisesRegex(RemoteCallError, "era 2"):
+            await self.store.target_changes(None)
 
     async def test_changes_of_another_era_are_not_asked_for(self) -> None:
         self._answer(1)
-        after = (await self.store.target_news(None)).version
+        after = (await self.store.target_changes(None)).version
         self._answer(2, 99)
         for _ in range(2):
-            with self.assertRaises(HistoryGone) as caught:
-                await self.store.target_news(after)
-            self.assertTrue(caught.exception.went_back)
+            with self.assertRaises(HistoryTruncated) as caught:
+                await self.store.target_changes(after)
+            self.assertTrue(caught.exception.store_restored)
         self.client.call.assert_awaited_once()
 
     async def test_a_condition_of_an_older_era_does_not_hold(self) -> None:
         self._answer(1)
         row = mark(1, 4)
-        await self.store.target_news(None)
+        await self.store.target_changes(None)
         self._answer(2)
-        await self.store.target_news(None)
+        await self.store.target_changes(None)
         self.client.call.reset_mock()
         outcome = await self.store.write("t", [RowWrite("k", b"v", row)])
         self.assertFalse(outcome.done)
@@ -234,8 +234,8 @@
 
     async def test_a_conditional_write_that_met_a_new_era_is_not_sure(self) -> None:
         self._answer(1)
-        await self.store.target_news(None)
+        await self.store.target_changes(None)
         self._answer(2)
-        with self.assertRaises(OutOfReach) as caught:
+        with self.assertRaises(RemoteCallError) as caught:
             await self.store.write("t", [RowWrite("k", b"v", mark(1, 4))])
-        self.assertFalse(caught.exception.sure)
+        self.assertFalse(caught.exception.not_executed)
--- a/tests/test_suspended_host.py
+++ b/tests/test_suspended_host.py
@@ -17,7 +17,7 @@
 from fielddrift_node import clock
 from fielddrift_node.clock import SuspendAwareLoop
 from fielddrift_node.serving.duty import Duty
-from fielddrift_node.serving.ports import Outcome
+from fielddrift_node.serving.ports import WriteOutcome
 from fielddrift_node.watch import Watch
 from fielddrift_standins.deployment import route
 from fielddrift_standins.worker import Worker
@@ -109,7 +109,7 @@
         host = Suspension()
         table = mock.Mock(era=0, calls=0)
         table.rows = mock.AsyncMock(return_value=([], 100.0))
-        table.write = mock.AsyncMock(return_value=Outcome(True, 1, 100.0))
+        table.write = mock.AsyncMock(return_value=WriteOutcome(True, 1, 100.0))
         loop = SuspendAwareLoop()
         self.addCleanup(loop.close)
         with mock.patch.object(clock, "now", host.now):
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -18,7 +18,7 @@
 import msgspec
 from fielddrift_core.placement import PREFILL_TOKENS_PER_SECOND
 from fielddrift_core.target_registry import Instance, TargetRegistry, life_name, target_id
-from fielddrift_node.serving.ports import OutOfReach, Send
+from fielddrift_node.serving.ports import OutgoingRequest, RemoteCallError
 from fielddrift_node.serving.views import Views
 from fielddrift_node.web.client import Reply
 from fielddrift_node.web.messages import Headers, ResponseHead
@@ -166,7 +166,7 @@
         return found
 
     async def test_a_report_of_another_life_is_none(self) -> None:
-        with self.assertRaisesRegex(OutOfReach, "started again"):
+        with self.assertRaisesRegex(RemoteCallError, "started again"):
             await self._report("e#5", {"born": 6, "seq": 0})
         self.assertEqual((await self._report("e#5", {"born": 5, "seq": 3})).orders, 3)
         # Entries that do not tell lives apart have no life to compare.
@@ -178,7 +178,7 @@
         ask = mock.Mock()
         ask.request.head.headers, ask.request.body = [], b""
         ask.request.head.method, ask.request.head.target = b"GET", b"/"
-        data = PlatformTargets(client=mock.Mock()).request(Send(ask, found, 1.0, ""))
+        data = PlatformTargets(client=mock.Mock()).request(OutgoingRequest(ask, found, 1.0, ""))
         self.assertIn(b"X-Expect-Instance: e\r\n", data)
 
 
@@ -242,7 +242,7 @@
         store = PlatformStore(address="10.0.0.9:1", client=client)
         with mock.patch.object(store_module, "_log") as log:
             for _ in range(3):
-                news = asyncio.run(store.target_news(None))
+                news = asyncio.run(store.target_changes(None))
                 self.assertEqual([found.target for found in news.entries], ["e"])
                 self.assertEqual(news.unreadable, ("x",))
         self.assertEqual((log.error.call_count, store.unreadable), (1, 1))
@@ -258,7 +258,7 @@
             )
         )
         store = PlatformStore(address="10.0.0.9:1", client=client)
-        news = asyncio.run(store.operator_news(None, 0.0))
+        news = asyncio.run(store.operator_changes(None, 0.0))
         self.assertIsNone(news.catalog)
         self.assertEqual([named.version for named in news.weights], [4])
 
