--- a/packages/core/src/fielddrift_core/routing.py
+++ b/packages/core/src/fielddrift_core/routing.py
@@ -1,10 +1,10 @@
-"""Choose a target, and where the kept context comes from.
+"""Choose a target, and the source of the cached context.
 
-For each pair of target and source the time to the first token is estimated
-from the target's lagged load, corrected by what this node sent since.  Only a
-few targets drawn at random are weighed, besides those that may still have the
-prompt in memory: many nodes that see the same old load then do not all pick
-the same target, and the cost of a decision does not grow with their number.
+For each pair of target and source the time to the first token (TTFT) is estimated from the
+target's last reported load, corrected by what this node has sent since.  Only a few
+targets are evaluated: a random sample, and those that may still have the prompt in memory.
+Nodes that have the same outdated load then do not all choose the same target, and the
+cost of a decision does not grow with the number of targets.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 ]
 
 SAMPLE_SIZE = 5
-# An estimate beyond this part of the patience is a risk, and priced as one.
+# Fraction of the TTFT limit beyond which an estimate risks missing it and costs extra.
 TTFT_LIMIT_FRACTION = 0.5
 LATE_COST = 10.0
 CONGESTION_WEIGHT = 4.0
@@ -52,10 +52,10 @@
 
 
 class Load(NamedTuple):
-    """A target's own word on its load, with the moment it was heard.
+    """A target's load as it reports it, and when the report was received.
 
-    `backlog` is tokens waiting to be prefilled; `running` and `queued` count
-    requests.
+    `backlog` is the number of tokens that wait to be prefilled; `running` and `queued`
+    count requests.
     """
 
     running: int = 0
@@ -67,9 +67,9 @@
 class TargetView(NamedTuple):
     """What a node knows of a target when it chooses.
 
-    `sent` and `sent_tokens` count this node's own requests since the load was
-    heard; `memory_blocks` is a hint of how much of the prompt it still has;
-    `run_seconds` is how long a run has held one of its slots of late.
+    `sent` and `sent_tokens` count this node's own requests since the load was received;
+    `memory_blocks` is a hint of how many blocks of the prompt the target still has in
+    memory; `slot_seconds` is how long recent runs have occupied one of its slots.
     """
 
     target: Target
@@ -82,7 +82,10 @@
 
 
 class KeptPrefix(NamedTuple):
-    """The longest kept prefix of a prompt; `seconds` is the time to import it."""
+    """The longest stored prefix of a prompt.
+
+    `seconds` is the time to import it, `link_seconds` the time that this takes the link.
+    """
 
     blocks: int = 0
     size: int = 0
@@ -91,9 +94,9 @@
 
 
 class RequestNeeds(NamedTuple):
-    """What a request needs: prompt length in tokens and blocks, and weights.
+    """Prompt length in tokens and blocks, cost weights, and the stored prefix of a request.
 
-    `patience` is the seconds in which the first token must come.
+    `ttft_limit` is the number of seconds within which the first token must arrive.
     """
 
     tokens: int
@@ -104,7 +107,10 @@
 
 
 class Choice(NamedTuple):
-    """A target and a source, with what they were estimated to take."""
+    """A target and a source, with the estimates for them.
+
+    `ttft` and `wait` are seconds; `recomputed` is the fraction of the prompt to prefill.
+    """
 
     target: Target
     source: Source
@@ -118,7 +124,7 @@
 
 
 class Policy(NamedTuple):
-    """A way to choose, and how many targets it wants drawn; None for all."""
+    """A function that chooses, and the number of targets to sample for it; None for all."""
 
     choose: ChoiceFunction
     sample: int | None
@@ -137,7 +143,7 @@
     return register
 
 
-# --- drawing ---------------------------------------------------------------
+# --- sampling --------------------------------------------------------------
 
 
 def sample_targets(
@@ -148,10 +154,10 @@
     sample: int | None,
     rng: random.Random,
 ) -> list[Target]:
-    """Return some allowed targets drawn at random, and all allowed ones in `warm`.
+    """Return a random sample of the allowed targets, and all allowed ones in `warm`.
 
-    The cost does not grow with the number of targets, but where so few are
-    allowed that the draw finds none.
+    The cost grows with the number of targets only if so few are allowed that the sample
+    contains none of them.
     """
     if sample is None or len(targets) <= sample:
         return [target for target in targets if allowed(target)]
@@ -171,7 +177,7 @@
 
 
 def wait_seconds(view: TargetView) -> float:
-    """Return how long a new request would wait before its prefill starts."""
+    """Return the seconds that a new request would wait before its prefill starts."""
     target = view.target
     waiting = (view.load.backlog + view.sent_tokens) / target.prefill_rate
     ahead = view.load.running + view.load.queued + view.sent - target.slots + 1
@@ -187,7 +193,7 @@
 
 
 def estimate(view: TargetView, need: RequestNeeds, source: Source) -> Choice:
-    """Return the choice of `view` with `source`, priced by the need's weights."""
+    """Return the choice of `view` with `source`, its cost by the weights in `need`."""
     kept = need.kept
     in_memory = _memory_share(view, need)
     share, extra, link = in_memory, 0.0, 0.0
@@ -206,12 +212,12 @@
 
 def cheapest(need: RequestNeeds, views: Sequence[TargetView]) -> Choice | None:
     """Return the cheapest pair of target and source among `views`."""
-    # Where every target has others waiting, what is computed delays those too.
-    crowd = min((wait_seconds(view) for view in views), default=0.0)
+    # If requests wait at every target, a prefill delays those requests too.
+    congestion_seconds = min((wait_seconds(view) for view in views), default=0.0)
     best: Choice | None = None
     for view in views:
         for source in _sources(view, need):
-            choice = _with_congestion(estimate(view, need, source), need, crowd)
+            choice = _with_congestion(estimate(view, need, source), need, congestion_seconds)
             if best is None or choice.cost < best.cost:
                 best = choice
     return best
@@ -238,9 +244,9 @@
 def choose_cheapest(
     need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
 ) -> Choice | None:
-    """Take the cheapest pair.
+    """Choose the cheapest pair.
 
-    Among all targets this is best on fresh loads and herds on old ones.
+    Over all targets this is best with current loads; with outdated ones, nodes herd.
     """
     return cheapest(need, views)
 
@@ -249,7 +255,7 @@
 def choose_random(
     need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
 ) -> Choice | None:
-    """Baseline: any target, importing what is kept."""
+    """Baseline: a random target, importing the stored prefix."""
     return _with_import(need, rng.choice(views)) if views else None
 
 
@@ -257,7 +263,7 @@
 def choose_least_loaded(
     need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
 ) -> Choice | None:
-    """Baseline: the shortest queue by the target's own word, recomputing."""
+    """Baseline: the shortest queue by the reported load, recomputing."""
     if not views:
         return None
     view = min(views, key=lambda v: (v.load.running + v.load.queued + v.sent, v.target.name))
@@ -268,7 +274,7 @@
 def choose_sticky(
     need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
 ) -> Choice | None:
-    """Baseline: the target with most of the prompt in memory, else any."""
+    """Baseline: the target with most of the prompt in memory, else a random one."""
     if not views:
         return None
     best = max(views, key=lambda v: v.memory_blocks)
@@ -280,7 +286,7 @@
 def choose_recompute(
     need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
 ) -> Choice | None:
-    """Baseline: the least estimated wait, kept context unused."""
+    """Baseline: the least estimated wait, recomputing."""
     if not views:
         return None
     view = min(views, key=lambda v: wait_seconds(v))
@@ -291,7 +297,7 @@
 def choose_import(
     need: RequestNeeds, views: Sequence[TargetView], rng: random.Random
 ) -> Choice | None:
-    """Baseline: the least estimated wait, importing whatever is kept."""
+    """Baseline: the least estimated wait, importing the stored prefix."""
     if not views:
         return None
     return _with_import(need, min(views, key=lambda v: wait_seconds(v)))
--- a/packages/core/src/fielddrift_core/store_index.py
+++ b/packages/core/src/fielddrift_core/store_index.py
@@ -1,7 +1,7 @@
-"""Know which parts of prompts the store hosts keep whole, and choose where to keep more.
+"""Track which parts of prompts the store hosts keep completely, and choose stores for more.
 
-Only what a store itself told counts as kept; a gap in what it tells, or a new
-life, makes everything unknown until it is listed again.
+Only what a store itself reported counts as kept.  After a gap in its events, or a restart,
+its content is unknown until it has been listed again.
 """
 
 from __future__ import annotations
@@ -18,35 +18,37 @@
 __all__ = ["KeptChange", "StoreIndex", "StoreView"]
 
 _BLOCK_TOKENS = 16
-"""Tokens that a store gives out at once."""
+"""Allocation unit of a store, in tokens."""
 _MAX_FILL_FRACTION = 0.92
-"""Part of a store that is filled; the rest is for saves that other nodes began."""
+"""Fraction of a store's capacity that is filled; the rest is for concurrent saves by other
+nodes."""
 _MAX_PART_FRACTION = 0.02
-"""Part of a store that one part of a prompt may take: the quick, small stores keep
-many small parts, for which the wait before a move counts most."""
+"""Fraction of a store's capacity that one part of a prompt may take.  The fast, small stores
+should keep many small parts, for which the latency before a transfer matters most."""
 _LATE_SECONDS = 0.05
-"""Lateness of a store from which saves go elsewhere: twice what a large part's move takes."""
+"""Lateness of a store from which saves go elsewhere: twice the transfer time of a large part."""
 _LOCAL_WEIGHT_FACTOR = 4.0
-"""Preference for a store in the engine's data centre: moves there take half the time."""
+"""Weight of a store in the engine's data centre, relative to others: transfers within a data
+centre take half the time."""
 _MAX_CHANGES = 200
-"""Changes that are remembered: some minutes' worth, at one in a second or so."""
+"""Changes that are kept per store for copying: some minutes' worth at about one per second."""
 _SAVE_TIMEOUT_SECONDS = 3.0
-"""A save that was not told of after so long is taken for lost."""
+"""Time after which a save that its store has not reported counts as lost."""
 
 
 _KeptAt = dict[tuple[str, str], dict[str, int]]
 
 
 def allocated_tokens(tokens: int) -> int:
-    """Return the tokens of room that a part of `tokens` takes."""
+    """Return the tokens that a store allocates for a part of `tokens`."""
     return -(-tokens // _BLOCK_TOKENS) * _BLOCK_TOKENS
 
 
 class KeptChange(NamedTuple):
-    """What changed at a store between two numbers of its events.
+    """Changes at a store between two event numbers, from `since` to `following`.
 
-    `added` holds (salt, part, tokens) of parts that are whole now, `dropped`
-    (salt, part) of those that are gone.
+    `added` holds (salt, part, tokens) of the parts that are now complete, `dropped`
+    (salt, part) of those that were removed.
     """
 
     since: int
@@ -56,9 +58,11 @@
 
 
 class StoreView:
-    """What is known of one store host, and the latest changes for nodes that copy it.
+    """The known content of one store host, and its latest changes for nodes that copy it.
 
-    `kept_at` is shared by all views of an index: by (salt, part) the tokens kept, by store.
+    `kept_at` is shared by all views of an index and maps (salt, part) to the tokens kept, by
+    the address of the store.  `life` identifies the store's process instance, `following` is
+    the number of its last applied event.
     """
 
     def __init__(self, *, traits: StoreTraits, kept_at: _KeptAt | None = None) -> None:
@@ -69,22 +73,22 @@
         self.held: dict[tuple[str, str], int] = {}
         self.used = 0
         self.received_at = float("-inf")
-        """When this node itself last heard the store; -inf when others do."""
+        """When this node itself last received from the store; -inf if other nodes do that."""
         self._changes: deque[KeptChange] = deque(maxlen=_MAX_CHANGES)
 
     @property
     def is_known(self) -> bool:
-        """Return whether what the store keeps is known."""
+        """Return whether the content of the store is known."""
         return self.life is not None
 
     def unknown(self) -> None:
-        """Forget everything: it must be listed again."""
+        """Discard the content; it is unknown until the next call of `listed`."""
         self.life = None
         self._clear()
         self._changes.clear()
 
     def listed(self, life: int, following: int, held: Iterable[tuple[str, str, int]]) -> None:
-        """Take a whole list of (salt, part, tokens)."""
+        """Replace the content by a complete list of (salt, part, tokens)."""
         self._changes.clear()
         self.life, self.following = life, following
         self._clear()
@@ -92,15 +96,15 @@
             self.add(salt, part, tokens)
 
     def is_behind(self, life: int, following: int) -> bool:
-        """Return whether a view as of event `following` of `life` tells more than this one.
+        """Return whether this view is behind event `following` of `life`.
 
-        Nodes hear a store one after the other: a copy from one that is behind would
-        bring back what is gone.
+        Nodes receive a store's events at different times.  A copy from a node that is behind
+        would bring back parts that have been removed.
         """
         return self.life != life or self.following < following
 
     def apply(self, change: KeptChange) -> bool:
-        """Take a change; False, and nothing is taken, when one before it is missing."""
+        """Apply `change`; return False, and apply nothing, if one before it is missing."""
         if change.since != self.following:
             return False
         for salt, part, tokens in change.added:
@@ -113,7 +117,7 @@
         return True
 
     def changes_since(self, since: int) -> tuple[KeptChange, ...] | None:
-        """Return the changes after event number `since`, None when some are not known."""
+        """Return the changes after event number `since`, or None if some are not available."""
         if since == self.following:
             return ()
         found = [change for change in self._changes if change.since >= since]
@@ -122,14 +126,14 @@
         return tuple(found)
 
     def add(self, salt: str, part: str, tokens: int) -> None:
-        """Note a part that is whole."""
+        """Add a complete part."""
         if (salt, part) not in self.held:
             self.used += allocated_tokens(tokens)
         self.held[(salt, part)] = tokens
         self._kept_at.setdefault((salt, part), {})[self.traits.address] = tokens
 
     def drop(self, salt: str, part: str) -> None:
-        """Note a part that is gone."""
+        """Remove a part; one that is not known is ignored."""
         tokens = self.held.pop((salt, part), None)
         if tokens is not None:
             self.used -= allocated_tokens(tokens)
@@ -154,7 +158,7 @@
 
 
 class StoreIndex:
-    """All store hosts.  Not safe for threads."""
+    """Index of the parts kept by all store hosts.  Not thread-safe."""
 
     def __init__(self) -> None:
         self._views: dict[str, StoreView] = {}
@@ -162,7 +166,7 @@
         self._saving: dict[tuple[str, str], _PendingSave] = {}
 
     def configure(self, stores: Iterable[StoreTraits]) -> None:
-        """Follow exactly `stores`."""
+        """Set the stores to track to exactly `stores`."""
         wanted = {store.address: store for store in stores}
         for address in [a for a in self._views if a not in wanted]:
             self._views.pop(address).unknown()
@@ -174,15 +178,15 @@
 
     @property
     def views(self) -> list[StoreView]:
-        """Return all stores."""
+        """Return the views of all stores."""
         return list(self._views.values())
 
     def view(self, address: str) -> StoreView | None:
-        """Return one store."""
+        """Return the view of the store at `address`, or None if it is not tracked."""
         return self._views.get(address)
 
     def marks(self, now: float) -> dict[str, StorePosition]:
-        """Return how far this node itself has heard each store."""
+        """Return the last event that this node itself received from each store."""
         return {
             address: StorePosition(view.life, view.following, now - view.received_at)
             for address, view in self._views.items()
@@ -190,12 +194,12 @@
         }
 
     def holders(self, salt: str, part: Part) -> list[StoreTraits]:
-        """Return the stores that keep `part` whole."""
+        """Return the stores that keep `part` completely."""
         kept = self._kept_at.get((salt, part.id), {})
         return [self._views[store].traits for store, held in kept.items() if held >= part.tokens]
 
     def is_saving(self, salt: str, part: Part, now: float) -> bool:
-        """Return whether a save of `part` is under way."""
+        """Return whether a save of `part` is in progress."""
         saving = self._saving.get((salt, part.id))
         return saving is not None and now < saving.until
 
@@ -208,33 +212,34 @@
         data_centre: str = "",
         late: Callable[[str], float] = lambda _: 0.0,
     ) -> StoreTraits | None:
-        """Choose a store for `part` and note the save; None when there is no room.
+        """Choose a store for `part` and record the save; return None if no store has room.
 
-        Of the stores for which the part is not too large the quick ones are
-        preferred, and those in `data_centre`, where the engine is; `late`
-        tells by how many seconds a store is late now.
+        Of the stores for which the part is not too large, those with fast links and those in
+        `data_centre`, the engine's own, are preferred.  `late` returns the current lateness of
+        the store at an address, in seconds.
         """
-        fitting = [view for view in self._views.values() if self._takes(view, part)]
+        fitting = [view for view in self._views.values() if self._has_room(view, part)]
         suited = [v for v in fitting if part.tokens <= _MAX_PART_FRACTION * v.traits.capacity]
-        prompt_ones = [v for v in suited or fitting if late(v.traits.address) < _LATE_SECONDS]
-        fitting = prompt_ones or suited or fitting
+        punctual = [v for v in suited or fitting if late(v.traits.address) < _LATE_SECONDS]
+        fitting = punctual or suited or fitting
         if not fitting:
             return None
         weights = [
-            (v.traits.address, v.traits.link_rate * self._nearness(v, data_centre)) for v in fitting
+            (v.traits.address, v.traits.link_rate * self._location_weight(v, data_centre))
+            for v in fitting
         ]
         address = rank(part.id, weights)[0]
         self._saving[(salt, part.id)] = _PendingSave(address, now + _SAVE_TIMEOUT_SECONDS)
         return self._views[address].traits
 
     def cancel_save(self, salt: str, part: str) -> None:
-        """Forget the save of a part, by id: the engine that was to make it turned it away."""
+        """Remove the pending save of the part with id `part`: the engine refused the request."""
         self._saving.pop((salt, part), None)
 
-    def _nearness(self, view: StoreView, data_centre: str) -> float:
+    def _location_weight(self, view: StoreView, data_centre: str) -> float:
         return _LOCAL_WEIGHT_FACTOR if view.traits.data_centre == data_centre else 1.0
 
-    def _takes(self, view: StoreView, part: Part) -> bool:
+    def _has_room(self, view: StoreView, part: Part) -> bool:
         return (
             view.is_known
             and view.used + allocated_tokens(part.tokens)
@@ -242,7 +247,7 @@
         )
 
     def expire(self, now: float) -> None:
-        """Forget saves that were told of, or are lost."""
+        """Remove the pending saves that have timed out."""
         for key in [k for k, s in self._saving.items() if now >= s.until]:
             del self._saving[key]
 
@@ -251,7 +256,7 @@
         return {salt for view in self._views.values() for salt, _ in view.held}
 
     def keys_under(self, salts: Collection[str]) -> dict[str, list[tuple[str, str]]]:
-        """Return, by store, the (salt, part) that are kept under one of `salts`."""
+        """Return, by store address, the (salt, part) that are kept under one of `salts`."""
         found: dict[str, list[tuple[str, str]]] = {}
         for address, view in self._views.items():
             keys = [key for key in view.held if key[0] in salts]
