--- a/packages/node/src/fielddrift_node/serving/duty.py
+++ b/packages/node/src/fielddrift_node/serving/duty.py
@@ -1,4 +1,4 @@
-"""Hold the lease of a duty in the platform's table."""
+"""Hold the lease of a duty that one node at a time may perform, in the platform's table."""
 
 from __future__ import annotations
 
@@ -19,19 +19,23 @@
 
 from .ports import Platform, RemoteCallError, RowWrite
 
-__all__ = ["Duty"]
+__all__ = ["DutyLease"]
 
 TABLE = "duties"
-_RENEW_PART = 0.5
-"""Part of the lease after which it is renewed."""
-_ORDER_MARGIN = 0.15
-"""Seconds before its end at which a lease is no longer used: an order takes some ms."""
+_RENEW_FRACTION = 0.5
+"""Fraction of the lease after which it is renewed."""
+_ORDER_MARGIN_SECONDS = 0.15
+"""Time before its end at which a lease is no longer used; sending an order takes some ms."""
 
 _log = structlog.get_logger()
 
 
-class Duty:
-    """One duty, from the view of one node; `holder` names the machine."""
+class DutyLease:
+    """The lease of one duty as one node sees it; `holder` names the machine.
+
+    A node may acquire the lease of another holder only `takeover_seconds` after that lease has
+    ended, because orders of the former holder may still be under way.
+    """
 
     def __init__(
         self,
@@ -39,15 +43,15 @@
         name: str,
         holder: str,
         platform: Platform,
-        turn: float,
+        takeover_seconds: float,
         era_since: Callable[[], float] = lambda: float("-inf"),
     ) -> None:
         self._name = name
         self._holder = holder
         self._platform = platform
-        self._turn = turn
+        self._takeover_seconds = takeover_seconds
         self._era_since = era_since
-        """Tells when this node first met the era that the store is in."""
+        """Returns when this node first saw the store's current era."""
         self._era = 0
         """The era in which the lease was granted."""
         self._row_version = 0
@@ -55,30 +59,30 @@
         self._until = float("-inf")
         self._renew_at = float("-inf")
         self._fence = 0
-        self._look_at = float("-inf")
+        self._next_read_at = float("-inf")
 
     @property
     def fence(self) -> int:
-        """Return the fence of the last grant; later grants have higher ones."""
+        """Return the fencing token of the last grant; later grants have higher ones."""
         return self._fence
 
     @property
     def holder(self) -> str:
-        """Return the name under which this machine holds duties."""
+        """Return the name under which this machine holds leases."""
         return self._holder
 
     def held(self) -> bool:
-        """Return whether orders may be given now."""
-        # A store that went back knows nothing of the lease, and may grant it to another.
+        """Return whether this node holds the lease and may give orders now."""
+        # A store restored from a backup does not know the lease and may grant it to another node.
         same_era = self._era == self._platform.era
-        return same_era and asyncio.get_running_loop().time() < self._until - _ORDER_MARGIN
+        return same_era and asyncio.get_running_loop().time() < self._until - _ORDER_MARGIN_SECONDS
 
-    async def take(self) -> bool:
-        """Take or renew the lease; raise `RemoteCallError`."""
+    async def acquire(self) -> bool:
+        """Acquire or renew the lease and return whether it is held; raise `OutOfReach`."""
         loop = asyncio.get_running_loop()
         if self.held() and loop.time() < self._renew_at:
             return True
-        if loop.time() < self._look_at:
+        if loop.time() < self._next_read_at:
             return False
         if not self.held() or self._clock is None:
             row = await self._read()
@@ -86,27 +90,29 @@
             now = loop.time()
             clock = self._clock
             if (row is None or row.era != self._platform.era) and self._platform.era:
-                # What was granted before the return stands in no row.
-                first = earliest_takeover(self._era_since(), turn=self._turn)
-                if now < first:
-                    self._look_at = first
+                # The row of a lease that was granted before the store was restored is lost.
+                earliest = earliest_takeover(self._era_since(), turn=self._takeover_seconds)
+                if now < earliest:
+                    self._next_read_at = earliest
                     return False
-            if not may_take_over(row, holder=self._holder, clock=clock, now=now, turn=self._turn):
+            if not may_take_over(
+                row, holder=self._holder, clock=clock, now=now, turn=self._takeover_seconds
+            ):
                 assert row is not None
-                # Readings until then would find the same, and take calls from all nodes.
-                self._look_at = next_check(row, clock=clock, turn=self._turn)
+                # Reading earlier gives the same result and costs a call per node.
+                self._next_read_at = next_check(row, clock=clock, turn=self._takeover_seconds)
                 return False
-        return await self._write()
+        return await self._write_lease()
 
-    async def give_back(self) -> None:
-        """Let a successor begin a turn from now, not from the lease's end."""
+    async def release(self) -> None:
+        """Release the lease, so that a successor waits from now instead of from the lease's end."""
         if not self.held() or self._clock is None:
             return
         now = asyncio.get_running_loop().time()
         until = self._clock.clock + (now - self._clock.sent)
         row = DutyRow(self._holder, until, self._platform.era)
         self._until = float("-inf")
-        await self._put(row)
+        await self._write_row(row)
         _log.info("duty given back", duty=self._name, fence=self._fence)
 
     async def _read(self) -> DutyRow | None:
@@ -121,16 +127,16 @@
         self._row_version = 0
         return None
 
-    async def _write(self) -> bool:
+    async def _write_lease(self) -> bool:
         assert self._clock is not None
         loop = asyncio.get_running_loop()
         sent = loop.time()
         until = self._clock.earliest(sent) + LEASE_SECONDS
         was_held = self.held()
         try:
-            done = await self._put(DutyRow(self._holder, until, self._platform.era))
+            done = await self._write_row(DutyRow(self._holder, until, self._platform.era))
         except RemoteCallError:
-            # The write may have been done; the row tells at the next reading.
+            # The write may have been applied; the next reading of the row shows it.
             self._until = float("-inf")
             raise
         if not done:
@@ -138,12 +144,12 @@
             return False
         self._era = self._platform.era
         self._until = self._clock.local(until)
-        self._renew_at = sent + LEASE_SECONDS * _RENEW_PART
+        self._renew_at = sent + LEASE_SECONDS * _RENEW_FRACTION
         if not was_held:
             _log.info("duty taken", duty=self._name, fence=self._fence)
         return True
 
-    async def _put(self, row: DutyRow) -> bool:
+    async def _write_row(self, row: DutyRow) -> bool:
         write = RowWrite(self._name, msgspec.json.encode(row), self._row_version)
         outcome = await self._platform.write(TABLE, [write])
         if not outcome.done:
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -20,7 +20,7 @@
 from .crash_rows import CrashRows
 from .crash_watch import CrashWatch
 from .directory import EntryDialect, EntryHandler
-from .duty import Duty
+from .duty import DutyLease
 from .feeds import FeedTools
 from .gateway import Gateway
 from .gossip import Gossip, Scope
@@ -162,11 +162,11 @@
             first=lambda: self._neighbours.is_coordinator(asyncio.get_running_loop().time()),
             rng=rng,
         )
-        duty = Duty(
+        duty = DutyLease(
             name="weights",
             holder=f"{settings.name}@{settings.host}",
             platform=platform,
-            turn=settings.bounds.handover_pause,
+            takeover_seconds=settings.bounds.handover_pause,
             era_since=lambda: self._era_since,
         )
         notices = NoticeHandler(
--- a/packages/node/src/fielddrift_node/serving/rollout_runner.py
+++ b/packages/node/src/fielddrift_node/serving/rollout_runner.py
@@ -12,7 +12,7 @@
 from fielddrift_core.rollout import EngineWeights, next_loads
 from fielddrift_core.target_registry import Instance
 
-from .duty import Duty
+from .duty import DutyLease
 from .metrics import Metrics
 from .named_rows import NamedRows
 from .notices import NoticeHandler
@@ -63,7 +63,7 @@
         neighbours: Neighbours,
         targets: TargetDialect,
         notices: NoticeHandler,
-        duty: Duty,
+        duty: DutyLease,
         named_rows: NamedRows,
         weights_seconds: float,
         metrics: Metrics,
@@ -107,7 +107,7 @@
         self._leaving = True
         for task in self._under_way.values():
             task.cancel()
-        await self._duty.give_back()
+        await self._duty.release()
 
     async def _turn(self) -> None:
         work = [] if self._leaving else self._work()
@@ -115,13 +115,13 @@
         if not work:
             self._since = None
             if self._duty.held() and not self._under_way:
-                await self._duty.give_back()
+                await self._duty.release()
             return
         if self._since is None:
             self._since = now
         if not self._duty.held() and now - self._since < self._place() * _STAND_IN_SECONDS:
             return
-        if await self._duty.take():
+        if await self._duty.acquire():
             for item in work:
                 self._begin(item, now)
         # Without the duty too: a last holder's turn may take seconds, and until it is
--- a/tests/test_duty_eras.py
+++ b/tests/test_duty_eras.py
@@ -14,7 +14,7 @@
 
 from fielddrift_core.eras import era_of, mark, version_of
 from fielddrift_core.rollout import LEASE_SECONDS
-from fielddrift_node.serving.duty import Duty
+from fielddrift_node.serving.duty import DutyLease
 from fielddrift_node.serving.ports import RemoteCallError, RowWrite, SavedRow, WriteOutcome
 
 from .machines import explore
@@ -100,15 +100,15 @@
             self.met[number] = (view.era, since := self.now)
         return since + self.skew[number]
 
-    def _duty(self, number: int) -> Duty:
+    def _duty(self, number: int) -> DutyLease:
         if not hasattr(self, "views"):
             return super()._duty(number)
         since = (lambda: self._era_since(number)) if self.waits else (lambda: float("-inf"))
-        return Duty(
+        return DutyLease(
             name="weights",
             holder=f"n{number}",
             platform=self.views[number],  # type: ignore[arg-type]
-            turn=self.turn,
+            takeover_seconds=self.turn,
             era_since=since,
         )
 
--- a/tests/test_duty_walk.py
+++ b/tests/test_duty_walk.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from fielddrift_core.rollout import LEASE_SECONDS
-from fielddrift_node.serving.duty import Duty
+from fielddrift_node.serving.duty import DutyLease
 from fielddrift_node.serving.ports import RemoteCallError, RowWrite, SavedRow, WriteOutcome
 
 from .machines import Walk, explore
@@ -106,7 +106,7 @@
 
     def take(self) -> None:
         number = self.rng.randrange(NODES)
-        self._drive(number, lambda duty: duty.take())
+        self._drive(number, lambda duty: duty.acquire())
 
     def order(self) -> None:
         number = self.rng.randrange(NODES)
@@ -116,7 +116,7 @@
 
     def give_back(self) -> None:
         number = self.rng.randrange(NODES)
-        self._drive(number, lambda duty: duty.give_back())
+        self._drive(number, lambda duty: duty.release())
 
     def kill(self) -> None:
         number = self.rng.randrange(NODES)
@@ -137,13 +137,18 @@
 
     def ask(self, number: int) -> bool:
         """Let node `number` try to take the duty; return whether it holds it then."""
-        self._drive(number, lambda duty: duty.take())
+        self._drive(number, lambda duty: duty.acquire())
         held: bool = self._at(number, self.duties[number].held)
         return held
 
-    def _duty(self, number: int) -> Duty:
+    def _duty(self, number: int) -> DutyLease:
         holder = f"n{number}"
-        return Duty(name="weights", holder=holder, platform=self.table, turn=self.turn)  # type: ignore[arg-type]
+        return DutyLease(
+            name="weights",
+            holder=holder,
+            platform=self.table,  # type: ignore[arg-type]
+            takeover_seconds=self.turn,
+        )
 
     def _at(self, number: int, ask: Callable[[], Any]) -> Any:
         """Return what `ask` answers on the clock of node `number`."""
@@ -152,7 +157,7 @@
         with mock.patch("asyncio.get_running_loop", return_value=loop):
             return ask()
 
-    def _drive(self, number: int, call: Callable[[Duty], Coroutine[Any, Any, Any]]) -> None:
+    def _drive(self, number: int, call: Callable[[DutyLease], Coroutine[Any, Any, Any]]) -> None:
         """Run a call of a node to its end; the table never really waits."""
 
         def run() -> None:
@@ -217,7 +222,7 @@
         self.walk.ask(0)
         self.assertFalse(self.walk.ask(1))
         self.walk.now += 0.2
-        self.walk._drive(0, lambda duty: duty.give_back())
+        self.walk._drive(0, lambda duty: duty.release())
         self.assertAlmostEqual(self._until_taken(1), TURN + 0.3, delta=0.11)
         self.assertLessEqual(self.walk.table.readings, 1 + 3)
 
--- a/tests/test_suspended_host.py
+++ b/tests/test_suspended_host.py
@@ -16,7 +16,7 @@
 from fielddrift_core.rollout import LEASE_SECONDS
 from fielddrift_node import clock
 from fielddrift_node.clock import SuspendAwareLoop
-from fielddrift_node.serving.duty import Duty
+from fielddrift_node.serving.duty import DutyLease
 from fielddrift_node.serving.ports import WriteOutcome
 from fielddrift_node.watch import Watch
 from fielddrift_standins.deployment import route
@@ -115,8 +115,8 @@
         with mock.patch.object(clock, "now", host.now):
 
             async def held() -> list[bool]:
-                duty = Duty(name="weights", holder="n", platform=table, turn=3.0)
-                await duty.take()
+                duty = DutyLease(name="weights", holder="n", platform=table, takeover_seconds=3.0)
+                await duty.acquire()
                 found = [duty.held()]
                 host.seconds += LEASE_SECONDS
                 return [*found, duty.held()]
