--- a/packages/core/src/fielddrift_core/claims.py
+++ b/packages/core/src/fielddrift_core/claims.py
@@ -1,10 +1,10 @@
-"""Let a request that may not be repeated run at most once.
+"""Run requests that may not be repeated at most once.
 
-A claim is a row inserted in the platform's table before anything is sent.
-Only the row's claimant may send.  A claim moves to another node only when the
-claimant itself said that it has not sent and never will; time and leases play
-no part, so a node that was frozen or cut off can cost an answer, never a
-second run.
+A claim is a row inserted in the platform's table before the request is sent.
+Only the row's claimant may send the request.  Another node takes the claim over
+only after the claimant has reported that it has not sent the request and never
+will.  Timeouts and leases do not count, so a claimant that was suspended or
+partitioned can cost the caller an answer, but never causes a second run.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class ClaimState(StrEnum):
-    """What the table says of a claim."""
+    """State of a claim in the table."""
 
     CLAIMED = "claimed"
     RAN = "ran"
@@ -48,7 +48,7 @@
 
 
 class AttemptStatus(StrEnum):
-    """What a claimant says of its own claim when a peer asks."""
+    """State of an attempt as its claimant reports it to a peer."""
 
     RUNNING = "running"
     NEVER = "never"
@@ -56,12 +56,12 @@
 
 
 class ClaimRow(NamedTuple):
-    """A claim as it is kept in the table.
+    """A claim as it is stored in the table.
 
-    `claimant` is the node's incarnation, `attempt` is drawn anew for each
-    insert, `digest` fingerprints the request, so that a key used for another
-    request is noticed.  `body` is None while there is no answer, and when the
-    answer was too long to keep.
+    `claimant` is the incarnation of the node, `attempt` a random id generated
+    for each insert, `digest` the fingerprint of the request, which detects a key
+    that is reused for another request.  `body` is None until there is an answer,
+    and when the answer was too long to store.
     """
 
     customer: str
@@ -77,7 +77,7 @@
 
 
 class ClaimDecision(NamedTuple):
-    """What a row found in the table means: run, answer with it, take it over, or refuse."""
+    """What to do about an existing row: run, return its answer, take it over, or refuse."""
 
     run: bool = False
     kept: ClaimRow | None = None
@@ -86,33 +86,33 @@
 
 
 class StoredClaim(NamedTuple):
-    """A claim row as the table has it, with its version there."""
+    """A claim row in the table, and the version of the row."""
 
     row: ClaimRow
     version: int
 
 
 class InsertClaim(NamedTuple):
-    """Step: insert `row` unless its key is there; the event is what is there then."""
+    """Step: insert `row` unless its key exists; the event is the row stored afterwards."""
 
     row: ClaimRow
 
 
 class AskClaimant(NamedTuple):
-    """Step: ask the claimant of `row` for its word; the event is the word."""
+    """Step: ask the claimant of `row` for the attempt's status; the event is that status."""
 
     row: ClaimRow
 
 
 class TakeOverClaim(NamedTuple):
-    """Step: write `row` over the version given; the event is what is there then."""
+    """Step: replace `version` by `row`; the event is the row stored afterwards."""
 
     row: ClaimRow
     version: int
 
 
 class ClaimOutcome(NamedTuple):
-    """The end of claiming: held at `version`, the kept row, or a refusal."""
+    """The result of claiming: a claim held at `version`, the stored answer, or a refusal."""
 
     version: int = 0
     kept: ClaimRow | None = None
@@ -125,17 +125,18 @@
 
 
 def claim_key(customer: str, key: str) -> str:
-    """Return the table key of a claim."""
+    """Return the table key of the claim row."""
     return f"claim/{customer}/{key}"
 
 
-def decide(row: ClaimRow, mine: ClaimRow, word: AttemptStatus | None) -> ClaimDecision:
-    """Decide what `row`, found in the table, means for the request of `mine`.
+def decide(row: ClaimRow, own_row: ClaimRow, word: AttemptStatus | None) -> ClaimDecision:
+    """Decide how the request of `own_row` continues when the table already has `row`.
 
-    `word` is what the row's claimant says, None when it was not asked or gave
-    no answer.  A row with our own attempt is our insert whose answer was lost.
+    `word` is the status that the row's claimant reported, None when it was not
+    asked or did not answer.  A row with the attempt of `own_row` was inserted by
+    this node, and the table's answer was lost.
     """
-    if row.digest != mine.digest:
+    if row.digest != own_row.digest:
         return ClaimDecision(refusal=_key_reused(row))
     if row.state is ClaimState.RAN:
         return (
@@ -145,7 +146,7 @@
         )
     if row.state is ClaimState.NOT_RUN:
         return ClaimDecision(take_over=True)
-    if row.attempt == mine.attempt:
+    if row.attempt == own_row.attempt:
         return ClaimDecision(run=True)
     if word is AttemptStatus.NEVER:
         return ClaimDecision(take_over=True)
@@ -154,29 +155,29 @@
     return ClaimDecision(refusal=_unknown(row))
 
 
-def claim_steps(mine: ClaimRow, book: AttemptRegistry) -> ClaimSteps:
-    """Yield the steps that claim `mine`; the outcome is the generator's value.
+def claim_steps(own_row: ClaimRow, registry: AttemptRegistry) -> ClaimSteps:
+    """Yield the steps that claim `own_row`; the generator returns the `ClaimOutcome`.
 
-    Send None as the event of a write when it is not known whether it took
-    effect: the attempt is then abandoned before anything else is said.
+    Send None as the event of a write when it is unknown whether it took effect;
+    the attempt is then abandoned before the request is refused.
     """
-    book.open(mine.attempt)
-    event = yield InsertClaim(mine)
+    registry.open(own_row.attempt)
+    event = yield InsertClaim(own_row)
     while isinstance(event, StoredClaim):
-        seen = event
-        if seen.row.attempt == mine.attempt and seen.row.state is ClaimState.CLAIMED:
-            return ClaimOutcome(version=seen.version)
+        stored = event
+        if stored.row.attempt == own_row.attempt and stored.row.state is ClaimState.CLAIMED:
+            return ClaimOutcome(version=stored.version)
         word = None
-        if seen.row.state is ClaimState.CLAIMED:
-            answered = yield AskClaimant(seen.row)
+        if stored.row.state is ClaimState.CLAIMED:
+            answered = yield AskClaimant(stored.row)
             word = answered if isinstance(answered, AttemptStatus) else None
-        found = decide(seen.row, mine, word)
-        if not found.take_over:
-            book.abandon(mine.attempt)
-            return ClaimOutcome(kept=found.kept, refusal=found.refusal)
-        event = yield TakeOverClaim(mine, seen.version)
-    book.abandon(mine.attempt)
-    return ClaimOutcome(refusal=table_unavailable("whether the claim was written is not known"))
+        decision = decide(stored.row, own_row, word)
+        if not decision.take_over:
+            registry.abandon(own_row.attempt)
+            return ClaimOutcome(kept=decision.kept, refusal=decision.refusal)
+        event = yield TakeOverClaim(own_row, stored.version)
+    registry.abandon(own_row.attempt)
+    return ClaimOutcome(refusal=table_unavailable("it is unknown whether the claim was written"))
 
 
 def table_unavailable(why: str) -> Refusal:
@@ -205,57 +206,57 @@
     return Refusal(ErrorKind.OUTCOME_UNKNOWN, detail, Ran.UNKNOWN)
 
 
-class _Stage(StrEnum):
+class _AttemptState(StrEnum):
     OPEN = "open"
     SENT = "sent"
     NEVER = "never"
 
 
 class AttemptRegistry:
-    """Remember what this incarnation did with each of its own attempts.
+    """The state of each attempt that this incarnation of the node made.
 
-    The book answers peers.  Sending and abandoning exclude each other: the
-    first of the two settles the attempt for good.  Not safe for threads.
+    Peers are answered from this registry.  An attempt is either sent or abandoned:
+    the first of the two is final.  Not thread-safe.
     """
 
     def __init__(self, *, limit: int = 100_000) -> None:
         self._limit = limit
-        self._stages: dict[str, _Stage] = {}
+        self._states: dict[str, _AttemptState] = {}
 
     def open(self, attempt: str) -> None:
-        """Enter `attempt` before its row is inserted in the table."""
-        self._stages[attempt] = _Stage.OPEN
-        while len(self._stages) > self._limit:
-            del self._stages[next(iter(self._stages))]
+        """Add `attempt`; call this before its row is inserted in the table."""
+        self._states[attempt] = _AttemptState.OPEN
+        while len(self._states) > self._limit:
+            del self._states[next(iter(self._states))]
 
     def begin_send(self, attempt: str) -> bool:
-        """Settle `attempt` as sent; False when it was abandoned or is unknown."""
-        if self._stages.get(attempt) is not _Stage.OPEN:
+        """Mark `attempt` as sent; return False when it was abandoned or is unknown."""
+        if self._states.get(attempt) is not _AttemptState.OPEN:
             return False
-        self._stages[attempt] = _Stage.SENT
+        self._states[attempt] = _AttemptState.SENT
         return True
 
     def abandon(self, attempt: str) -> bool:
-        """Settle `attempt` as never sent; False when it was sent before."""
-        if self._stages.get(attempt) is _Stage.SENT:
+        """Mark `attempt` as never sent; return False when it was already sent."""
+        if self._states.get(attempt) is _AttemptState.SENT:
             return False
-        self._stages[attempt] = _Stage.NEVER
+        self._states[attempt] = _AttemptState.NEVER
         return True
 
     def mark_not_run(self, attempt: str) -> None:
-        """Settle `attempt` as never run: its target proved it, or nothing was sent."""
-        self._stages[attempt] = _Stage.NEVER
+        """Mark `attempt` as never run: its target proved it, or nothing was sent."""
+        self._states[attempt] = _AttemptState.NEVER
 
     def close(self, attempt: str) -> None:
-        """Forget a sent `attempt` whose run has ended, known or not."""
-        if self._stages.get(attempt) is _Stage.SENT:
-            del self._stages[attempt]
+        """Remove a sent `attempt` after its run ended, with or without a known outcome."""
+        if self._states.get(attempt) is _AttemptState.SENT:
+            del self._states[attempt]
 
     def word(self, attempt: str) -> AttemptStatus:
-        """Return what this node can say of `attempt`."""
-        match self._stages.get(attempt):
-            case _Stage.NEVER:
+        """Return the status of `attempt` that is reported to peers."""
+        match self._states.get(attempt):
+            case _AttemptState.NEVER:
                 return AttemptStatus.NEVER
-            case _Stage.OPEN | _Stage.SENT:
+            case _AttemptState.OPEN | _AttemptState.SENT:
                 return AttemptStatus.RUNNING
         return AttemptStatus.UNKNOWN
--- a/packages/core/src/fielddrift_core/configlog.py
+++ b/packages/core/src/fielddrift_core/configlog.py
@@ -1,9 +1,10 @@
-"""Keep the configuration as an append-only log that only moves forward.
+"""Store the configuration as an append-only log.
 
-The log lives in the platform's table.  A change is one transaction: the head
-is still N, and becomes N+1; the change and the operator's change id are
-written with it.  A lost answer is read back by the change id, never repeated.
-`ConfigView` is what one node has in force.
+The log is stored in the platform's table.  Each change is one transaction, which
+is conditional on the head revision N, sets it to N+1, and writes the change and
+the operator's change id.  When the answer to a commit is lost, its result is
+looked up by the change id; the change is never written a second time.
+`ConfigView` is the configuration in force on one node.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class LogEntry(NamedTuple):
-    """One accepted change, at its revision."""
+    """One accepted change and its revision."""
 
     revision: int
     change_id: str
@@ -41,42 +42,42 @@
 
 
 def entry_key(revision: int) -> str:
-    """Return the table key of the entry at `revision`."""
+    """Return the table key of the log entry at `revision`."""
     return f"config/log/{revision:012d}"
 
 
 def change_key(change_id: str) -> str:
-    """Return the table key under which a change id finds its revision."""
+    """Return the table key of the row that maps a change id to its revision."""
     return f"config/change/{change_id}"
 
 
 def encode_entry(entry: LogEntry) -> str:
-    """Return `entry` as text."""
+    """Return `entry` in the encoding stored in the table."""
     fields = [entry.revision, entry.change_id, entry.operator, encode(entry.command).decode()]
     return msgspec.json.encode(fields).decode()
 
 
 def decode_entry(raw: str) -> LogEntry:
-    """Return the entry kept as `raw`; raise ValueError when it is not one."""
+    """Return the entry encoded in `raw`; raise ValueError when it is malformed."""
     fields = msgspec.json.decode(raw, type=tuple[int, str, str, str])
     return LogEntry(fields[0], fields[1], fields[2], decode(fields[3].encode()))
 
 
 def encode_snapshot(configuration: Configuration) -> bytes:
-    """Return a whole configuration as bytes."""
+    """Return the encoded configuration."""
     return msgspec.json.encode(configuration)
 
 
 def decode_snapshot(raw: bytes) -> Configuration:
-    """Return the configuration kept as `raw`; raise ValueError when it is not one."""
+    """Return the configuration encoded in `raw`; raise ValueError when it is malformed."""
     return msgspec.json.decode(raw, type=Configuration)
 
 
 class ConfigView:
-    """Hold what one node has in force; it never goes back.
+    """The configuration in force on one node; its revision never decreases.
 
-    `heard` is the highest revision that anyone told of: where it is above
-    `revision`, entries are missing and `missing` says which.
+    `heard` is the highest revision known to be accepted by the log.  While it is
+    above `revision`, entries are missing here; `missing` returns their revisions.
     """
 
     def __init__(self) -> None:
@@ -86,12 +87,12 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Return the configuration in force here."""
+        """Return the configuration in force on this node."""
         return self._configuration
 
     @property
     def revision(self) -> int:
-        """Return the revision in force here."""
+        """Return the revision in force on this node."""
         return self._configuration.revision
 
     @property
@@ -101,19 +102,19 @@
 
     @property
     def behind(self) -> bool:
-        """Return whether accepted entries are missing here."""
+        """Return whether accepted entries are missing on this node."""
         return self.heard > self.revision
 
     def note_accepted(self, revision: int) -> None:
-        """Note that `revision` was accepted somewhere."""
+        """Record that the log accepted `revision`."""
         self._heard = max(self._heard, revision)
 
     def missing(self) -> range:
-        """Return the revisions still to be fetched."""
+        """Return the revisions that are still to be fetched."""
         return range(self.revision + 1, self.heard + 1)
 
     def put(self, entry: LogEntry) -> int:
-        """Take an entry in any order, any number of times; return how many came in force."""
+        """Add an entry, in any order and repeatedly; return how many were applied."""
         if entry.revision <= self.revision:
             return 0
         self._entries[entry.revision] = entry
@@ -121,7 +122,7 @@
         return self._advance()
 
     def apply_snapshot(self, configuration: Configuration) -> bool:
-        """Jump to a later configuration; False when it is not later."""
+        """Replace the configuration by a later one; return False when it is not later."""
         if configuration.revision <= self.revision:
             return False
         self._configuration = configuration
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -154,10 +154,10 @@
         """Without the rule that only the claimant's word frees a claim, a key runs twice."""
 
         def careless(
-            row: ClaimRow, mine: ClaimRow, word: AttemptStatus | None
+            row: ClaimRow, own_row: ClaimRow, word: AttemptStatus | None
         ) -> core.ClaimDecision:
             silent = row.state is ClaimState.CLAIMED and word is None
-            return core.ClaimDecision(take_over=True) if silent else decide(row, mine, word)
+            return core.ClaimDecision(take_over=True) if silent else decide(row, own_row, word)
 
         with (
             mock.patch.object(core, "decide", careless),
