--- a/packages/core/src/fielddrift_core/__init__.py
+++ b/packages/core/src/fielddrift_core/__init__.py
@@ -1,6 +1,6 @@
-"""Decide what fielddrift does, without any I/O.
+"""The decision logic of fielddrift, without any I/O.
 
-Modules here open no socket, start no thread, read no clock and draw no random
-number.  Time, randomness and messages come in as arguments; decisions go out
-as values.
+Modules here open no socket, start no thread, read no clock and generate no random
+numbers.  Time, random generators and messages are arguments; decisions are return
+values.
 """
--- a/packages/core/src/fielddrift_core/catalog.py
+++ b/packages/core/src/fielddrift_core/catalog.py
@@ -1,7 +1,7 @@
-"""Hold one version of what operators set, for requests whose prompts come as parts.
+"""Hold one version of the operators' settings, for requests with prompts in parts.
 
-A `Catalog` is never changed in place: each version is taken whole, and a
-request is handled under the one that was in force when it was judged.
+A `Catalog` is immutable: each version replaces the one before, and a request is
+handled under the version that was in force when it was admitted.
 """
 
 from __future__ import annotations
@@ -24,33 +24,34 @@
 
 
 class RepeatPolicy(StrEnum):
-    """How often the work of a request may be done."""
+    """How often a request may be run."""
 
     FREELY = "freely"
     ONCE = "once"
 
 
 class AnswerFormat(StrEnum):
-    """What an answer looks like: one body, or events as they are made."""
+    """The format of an answer: one body, or a stream of events."""
 
     WHOLE = "whole"
     EVENTS = "events"
 
 
 class Share(NamedTuple):
-    """A part of a route's requests, by `weight`, that goes to `service`."""
+    """The share of a route's requests, in proportion to `weight`, that goes to `service`."""
 
     service: str
     weight: int
 
 
 class Route(NamedTuple):
-    """Where requests of one host and path prefix go; times in seconds.
+    """The settings for requests of one host and path prefix; times in seconds.
 
-    `attempts` bounds the targets that one request may be sent to.  `priority`
-    orders kinds of requests, 0 first.  A `resumable` stream may go on at its
-    next event elsewhere.  `gap_goal` is the longest pause between events
-    that still counts as in time.
+    `attempts` is the most targets that one request may be sent to.  `priority`
+    orders classes of requests, 0 is the most urgent.  A `resumable` stream may be
+    resumed at its next event on another target.  An answer is in time when its
+    first event takes at most `latency_goal`, and each gap between events at most
+    `gap_goal`.
     """
 
     name: str
@@ -69,15 +70,16 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request that may have run may be sent again."""
+        """Return whether a request that may already have run may be sent again."""
         return self.repeat_policy is RepeatPolicy.FREELY
 
 
 class EngineTraits(NamedTuple):
-    """What the engines of a service are like.
+    """The properties of the engines of a service.
 
-    `memory` is in tokens, `token_bytes` the KV bytes of one, `link_rate` in
-    bytes a second, `slots` the requests in a batch.
+    `slots` is the number of requests in a batch, `memory` the size of the KV cache
+    in tokens, `token_bytes` the KV cache bytes per token, `link_rate` in bytes per
+    second, `max_event_calls` the most event calls that may be open at once.
     """
 
     slots: int
@@ -89,10 +91,11 @@
 
 
 class StoreTraits(NamedTuple):
-    """A store host: `capacity` in tokens, `link_rate` in bytes a second.
+    """The properties of a store host.
 
-    `first_byte_delay` is the seconds each move waits before it starts.  A `managed`
-    store frees nothing by itself.  `max_event_calls` bounds its event calls.
+    `capacity` is in tokens, `link_rate` in bytes per second, `first_byte_delay` the
+    seconds before the first byte of each transfer.  A `managed` store frees nothing
+    by itself.  `max_event_calls` is the most event calls that may be open at once.
     """
 
     address: str
@@ -107,8 +110,9 @@
 class Service(NamedTuple):
     """A group of targets, or one store host.
 
-    `connections` bounds the connections a target takes from all callers.  A target that
-    has started is cold for `cold_seconds` and bears `cold_rate` requests a second meanwhile.
+    `connections` is the most connections that a target accepts, from all callers together.
+    A target is cold for `cold_seconds` after its start, and then handles at most `cold_rate`
+    requests per second.
     """
 
     name: str
@@ -121,7 +125,7 @@
 
 
 class CatalogCustomer(NamedTuple):
-    """A customer of the deployment; `isolated` ones share no kept context."""
+    """A customer of the deployment; an `isolated` one shares no cached context."""
 
     name: str
     isolated: bool = False
@@ -129,7 +133,7 @@
 
 
 class Catalog(NamedTuple):
-    """Everything that operators set, at one version; sizes in bytes, times in seconds."""
+    """All settings of the operators at one version; sizes in bytes, times in seconds."""
 
     version: int
     routes: Mapping[str, tuple[Route, ...]]
@@ -141,19 +145,19 @@
     idle_seconds: float
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` with the longest prefix of `path`."""
+        """Return the route of `host` with the longest prefix of `path`, None without a match."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def customer(self, key: str) -> CatalogCustomer | None:
-        """Return who holds `key`, None when nobody does."""
+        """Return the customer with the API key `key`, None when there is none."""
         return self.customers.get(key)
 
     @property
     def priorities(self) -> list[int]:
-        """Return the ranks that prompts may have, the most urgent first."""
+        """Return the priorities of all routes and customers, the most urgent first."""
         routes = {route.priority for entries in self.routes.values() for route in entries}
         customers = {c.priority for c in self.customers.values() if c.priority is not None}
         return sorted(routes | customers)
--- a/packages/core/src/fielddrift_core/entry.py
+++ b/packages/core/src/fielddrift_core/entry.py
@@ -1,9 +1,9 @@
 """Order the entry addresses that a caller should use.
 
-Nearest data centre first; within one, by rendezvous hash of the model asked
-for, so that a model's requests meet on few nodes.  Those nodes then hear of
-the model's targets often enough for their loads to be fresh, without any
-node following every target.
+Nodes of the caller's data centre come first.  Within a data centre, nodes are
+ordered by rendezvous hash of the requested model, so that a model's requests
+reach few nodes.  Those nodes then receive load reports of the model's targets
+often enough, and no node needs the reports of all targets.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 TTL_SECONDS = 10.0
 SPREAD_NODE_COUNT = 2
-"""Nodes of a data centre among which a model's callers are shared out."""
+"""Nodes of a data centre among which a model's callers are distributed."""
 
 SMALL_FLEET_NODE_COUNT = 12
 
@@ -33,7 +33,7 @@
 
 
 class EntryAnswer(NamedTuple):
-    """The addresses to use, best first, and how long to keep them, in seconds."""
+    """The addresses to use, best first; callers may cache them for `ttl` seconds."""
 
     addresses: tuple[str, ...]
     ttl: float
@@ -49,7 +49,7 @@
 ) -> EntryAnswer:
     """Return the entry answer for a caller near `data_centre`.
 
-    `rotation` counts callers, so that they share the model's first nodes out.
+    `rotation` is a count of callers; it distributes them over the model's first nodes.
     """
     near: list[Member] = []
     far: list[Member] = []
@@ -60,9 +60,9 @@
 
 
 def audience(members: Iterable[Member], *, model: str) -> list[Member]:
-    """Return the nodes to which a model's callers are sent first, of all data centres.
+    """Return the nodes that callers of `model` use first, in all data centres.
 
-    In a small fleet these are all of them.
+    In a fleet of up to `SMALL_FLEET_NODE_COUNT` nodes these are all nodes.
     """
     everyone = list(members)
     if len(everyone) <= SMALL_FLEET_NODE_COUNT:
--- a/packages/core/src/fielddrift_core/errors.py
+++ b/packages/core/src/fielddrift_core/errors.py
@@ -1,7 +1,7 @@
-"""Name every way a request can end without its answer.
+"""Define every error with which a request can end.
 
-The list of kinds is closed: `ERROR_RESPONSES` maps each kind to what a caller and an
-operator see, and nothing else in the project invents an error kind.
+The list of kinds is complete: `ERROR_RESPONSES` maps each kind to the response that
+callers and operators receive, and no other module defines an error kind.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ErrorKind(StrEnum):
-    """One error kind, spelled as in the `type` member of a problem document."""
+    """The kind of an error, as it stands in the `type` member of a problem document."""
 
     BAD_REQUEST = "bad-request"
     TOO_LARGE = "too-large"
@@ -39,7 +39,7 @@
 
 
 class Ran(StrEnum):
-    """Whether a refused request ran.  `NO` is said only when it is sure."""
+    """Whether a refused request ran; `NO` only when that is certain."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -47,10 +47,11 @@
 
 
 class ErrorResponse(NamedTuple):
-    """What one error kind looks like from outside.
+    """The response to requests that end with one error kind.
 
     `status` is the HTTP status, `exit_code` the exit code of the operators'
-    client, `retry` whether the same request may succeed later.
+    client, `retry` whether the same request may succeed later, `title` the
+    `title` member of the problem document.
     """
 
     status: int
@@ -88,10 +89,10 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer that is not the one asked for.
+    """The final answer to a request that is refused or has failed.
 
-    `retry_after` is in seconds from now, None when coming back cannot help.
-    `reason` is the short word that the refusal's counter carries.
+    `retry_after` is in seconds from now, None when a retry cannot succeed.
+    `reason` names the refusal's counter; when empty, the kind does.
     """
 
     kind: ErrorKind
@@ -102,7 +103,7 @@
 
     @property
     def counter(self) -> str:
-        """Return the name of the counter that this refusal adds one to."""
+        """Return the name of the counter that this refusal increments."""
         return f"refused.{self.reason or self.kind.value}"
 
     def problem(self, *, request_id: str) -> dict[str, object]:
--- a/packages/core/src/fielddrift_core/interfaces.py
+++ b/packages/core/src/fielddrift_core/interfaces.py
@@ -1,8 +1,7 @@
-"""Describe the outside systems, as the node meets them.
+"""Define protocols for the external systems that a node uses.
 
-Adapters live in the node; fakes for benches and tests satisfy the same
-protocols.  All calls block and raise `ExternalSystemError`; `no_effect` says whether the
-call surely had no effect.
+The node has the adapters; fakes for benchmarks and tests implement the same
+protocols.  All calls block, and raise `ExternalSystemError` on failure.
 """
 
 from __future__ import annotations
@@ -24,10 +23,10 @@
 
 
 class ExternalSystemError(Exception):
-    """An outside system failed; `no_effect` when the call surely had no effect.
+    """A call to an external system failed.
 
-    `refused` says that nobody listened, `broken` that the other side closed the connection
-    before its answer was whole.
+    `no_effect` is true when the call certainly had no effect, `refused` when the connection
+    was refused, `broken` when the peer closed the connection before its answer was complete.
     """
 
     def __init__(
@@ -40,7 +39,7 @@
 
 
 class Row(NamedTuple):
-    """A table row; `version` is 0 for a row that is not there."""
+    """A table row; `version` is 0 for a row that does not exist."""
 
     key: str
     value: str
@@ -51,7 +50,7 @@
     """One write of a transaction.
 
     `expect` aborts the transaction unless the row has that version; with
-    `if_absent` the write is skipped, without aborting, when the row is there.
+    `if_absent` the write is skipped, without aborting, when the row exists.
     A `value` of None deletes the row.
     """
 
@@ -62,13 +61,13 @@
 
 
 class Transaction(NamedTuple):
-    """Writes that take effect together or not at all."""
+    """Writes that are applied atomically."""
 
     writes: tuple[Write, ...]
 
 
 class TransactionResult(NamedTuple):
-    """Whether it took effect, and the rows as they are after it, write by write."""
+    """Whether the transaction was committed, and each written row as it is afterwards."""
 
     ok: bool
     rows: tuple[Row, ...]
@@ -78,27 +77,27 @@
     """The platform's transactional table."""
 
     def read(self, keys: Sequence[str]) -> list[Row]:
-        """Return the rows of `keys`, in their order."""
+        """Return the rows of `keys`, in the same order."""
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
-        """Return up to `limit` rows whose key starts with `prefix` and follows `after`."""
+        """Return up to `limit` rows whose key starts with `prefix` and sorts after `after`."""
 
     def commit(self, transaction: Transaction) -> TransactionResult:
-        """Commit, or abort; an `ExternalSystemError` that is not sure may hide either."""
+        """Commit or abort; an `ExternalSystemError` without `no_effect` leaves it unknown which."""
 
 
 class ObjectStore(Protocol):
     """The platform's object store."""
 
     def get(self, name: str) -> bytes | None:
-        """Return an object's bytes, None when there is none."""
+        """Return the bytes of the object `name`, None when it does not exist."""
 
     def put(self, name: str, data: bytes) -> None:
-        """Store an object whole."""
+        """Store all of `data` as the object `name`."""
 
 
 class HostEntry(NamedTuple):
-    """A host in the platform's list; `epoch` numbers its lives."""
+    """A host in the platform's list; `epoch` increases with each of its starts."""
 
     address: str
     kind: str
@@ -109,7 +108,7 @@
 
 
 class HostList(Protocol):
-    """The platform's lagging list of live and leaving hosts."""
+    """The platform's list of running and leaving hosts; updates arrive with a delay."""
 
     def hosts(self) -> list[HostEntry]:
-        """Return all entries."""
+        """Return all entries of the list."""
--- a/packages/core/src/fielddrift_core/leases.py
+++ b/packages/core/src/fielddrift_core/leases.py
@@ -1,9 +1,10 @@
-"""Share out duties by leases in the platform's table.
+"""Assign duties to nodes by leases in the platform's table.
 
-A lease only spares work.  A holder counts its lease from before the renewal
-was sent, on its own monotonic clock; a contender takes a lease over after it
-has seen the row unchanged for the whole span on its own clock.  No clocks are
-compared.  Every grant raises the fence, which all orders carry.
+Leases only avoid duplicate work; they do not guarantee mutual exclusion.  A holder
+measures its lease on its own monotonic clock, from before the renewal was sent.
+A contender takes a lease over after it has seen the row unchanged for the whole
+lease duration on its own clock.  Clocks of different nodes are never compared.
+Each new grant increments the fencing token (`fence`), which all orders contain.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class LeaseRow(NamedTuple):
-    """A lease as it is kept in the table; each renewal raises `renewals`."""
+    """A lease as it is stored in the table; each renewal increments `renewals`."""
 
     duty: str
     holder: str
@@ -26,10 +27,10 @@
 
 
 class Lease:
-    """Follow one duty's lease from the view of one node.
+    """The lease of one duty as seen by one node.
 
-    Call `next_row` to learn which row to write (conditional on the row read), and
-    `confirm` once the write is known to have taken effect.
+    `next_row` returns the row to write, conditional on the row that was read; call
+    `confirm` when the write is known to have taken effect.
     """
 
     def __init__(self, *, duty: str, holder: str, duration: float = LEASE_SECONDS) -> None:
@@ -48,15 +49,15 @@
 
     @property
     def fence(self) -> int:
-        """Return the fence of the last grant."""
+        """Return the fencing token of the last confirmed lease."""
         return self._fence
 
     def held(self, now: float) -> bool:
-        """Return whether the lease is surely this node's at `now`."""
+        """Return whether this node certainly holds the lease at `now`."""
         return now < self._until
 
     def next_row(self, row: LeaseRow | None, now: float) -> LeaseRow | None:
-        """Return the row to write over `row`, or None to wait."""
+        """Return the row that is to replace `row`, None while another node may hold the lease."""
         if row is None:
             return LeaseRow(self._duty, self._holder, 1, 0)
         if row.holder == self._holder:
@@ -70,16 +71,16 @@
         return LeaseRow(self._duty, self._holder, row.fence + 1, 0)
 
     def _renewal(self, row: LeaseRow, now: float) -> LeaseRow:
-        # A lapsed lease is taken anew: orders sent before the lapse must lose.
+        # A lease that expired gets a new token, so that orders sent before are refused.
         fence = row.fence if self.held(now) else row.fence + 1
         return LeaseRow(self._duty, self._holder, fence, row.renewals + 1)
 
     def confirm(self, row: LeaseRow, sent_at: float) -> None:
-        """Count the lease from `sent_at`, before the write of `row` was sent."""
+        """Start the lease of `row` at `sent_at`, a time before the write of `row` was sent."""
         self._fence = row.fence
         self._until = sent_at + self._duration
 
     def release(self) -> LeaseRow:
-        """Stop holding; return the row that frees the lease for others at once."""
+        """Give up the lease; return the row that makes it available to other nodes at once."""
         self._until = float("-inf")
         return LeaseRow(self._duty, "", self._fence, 0)
--- a/packages/core/src/fielddrift_core/model.py
+++ b/packages/core/src/fielddrift_core/model.py
@@ -1,7 +1,7 @@
-"""Hold the configuration's nouns: customers, deployments, targets, hold rules.
+"""Define the configuration's entities: customers, deployments, targets, hold rules.
 
-All are plain data.  A `Configuration` is never changed in place; applying a
-change gives a new one with the next revision number.
+All are immutable data.  Applying a change to a `Configuration` returns a new one
+with the next revision number.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class TargetRole(StrEnum):
-    """What a target is for."""
+    """The type of a target."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -34,10 +34,10 @@
 
 
 class CostWeights(NamedTuple):
-    """What a deployment cares for, as factors of the routing cost.
+    """A deployment's weights of the terms of the routing cost.
 
-    `ttft` weighs seconds to the first token, `recompute` a wholly recomputed
-    prompt, `link` one second of a whole link's capacity.
+    `ttft` is the cost of one second to the first token, `recompute` of recomputing
+    a whole prompt, `link` of one second of a link's full capacity.
     """
 
     ttft: float = 1.0
@@ -46,10 +46,11 @@
 
 
 class Customer(NamedTuple):
-    """A tenant; its data never reaches another.
+    """A tenant; its data is never accessible to another tenant.
 
-    `key_digests` are SHA-256 digests of its bearer keys: a key is 256 random
-    bits, so a plain digest gives nothing away.  `salt` keys its block names.
+    `key_digests` are SHA-256 digests of its bearer keys: a key is 256 random bits,
+    so a plain digest reveals nothing about it.  `salt` is the key of the digests in
+    its block names.
     """
 
     name: str
@@ -62,8 +63,8 @@
     """A model that callers ask for by name, and its weight versions.
 
     `version` is the one in force; `prepared` are versions that engines load
-    ahead of a swap; `previous` was in force before, and is kept loaded until
-    all nodes can have heard of the swap.  `adapters` are loaded beside them.
+    ahead of a swap; `previous` was in force before, and stays loaded until the
+    swap can have reached all nodes.  `adapters` are loaded in addition.
     """
 
     model: str
@@ -82,10 +83,11 @@
 class Target(NamedTuple):
     """A model engine or a plain service behind the system.
 
-    `serves` is the model of an engine, or the name of a service.  `checks`
-    says whether the target refuses an order with an old fence.
-    `not_repeatable` lists a service's methods that may run at most once;
-    `work` is what an engine is ordered to do: prefill, decode or both.
+    `serves` is the model of an engine, or the name of a service.  `checks` is
+    whether the target refuses an order with an outdated fencing token.  `slots` is
+    the number of requests it runs at once, `prefill_rate` in tokens per second.
+    `not_repeatable` lists a service's methods that may run at most once; `work` is
+    the work that an engine is ordered to do: prefill, decode or both.
     """
 
     name: str
@@ -102,9 +104,9 @@
 
 
 class StoreHost(NamedTuple):
-    """A host that keeps blocks in memory and on disk behind a limited link.
+    """A host that stores blocks in memory and on disk behind a limited link.
 
-    `link_rate` is in bytes a second for everyone together.
+    `link_rate` is in bytes per second, for all clients together.
     """
 
     name: str
@@ -116,11 +118,11 @@
 
 
 class HoldRule(NamedTuple):
-    """How long kept context is worth holding for a customer.
+    """How long a customer's cached context is held.
 
-    `seconds` is the span within which a return counts; `chance` the expected
-    chance of a return within it; `rush` the seconds of the week at which a
-    known rush starts, `None` when there is no calendar.
+    `seconds` is the time within which the context is expected to be used again,
+    `chance` the probability of that, `rush` the second of the week at which a
+    known peak load starts, `None` when there is none.
     """
 
     customer: str
@@ -130,7 +132,7 @@
 
 
 class Configuration(NamedTuple):
-    """Everything that operators set, at one revision of the log.
+    """All settings of the operators at one revision of the log.
 
     `keys` maps the digest of each customer's key to the customer's name.
     """
@@ -144,5 +146,5 @@
     holds: Mapping[str, HoldRule] = {}
 
     def serving(self, role: TargetRole, name: str) -> tuple[Target, ...]:
-        """Return the targets of `role` that serve `name`, draining ones too."""
+        """Return the targets of `role` that serve `name`, including draining ones."""
         return tuple(t for t in self.targets.values() if t.role is role and t.serves == name)
--- a/packages/core/src/fielddrift_core/names.py
+++ b/packages/core/src/fielddrift_core/names.py
@@ -1,8 +1,8 @@
-"""Name kept blocks so that the name itself carries the truth.
+"""Name cached blocks of prompts by their content.
 
-A name says customer, model, weight version and a digest chained over the
-prompt, keyed by the customer's salt.  The same text in two customers, or
-under two versions, has two names, and a name is never reused for other bytes.
+A name consists of customer, model, weight version and a digest chained over the
+prompt, keyed by the customer's salt.  The same text of two customers, or under
+two versions, has two names, and a name is never reused for other bytes.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 _DIGEST_BYTES = 16
 _SCORE_CACHE_SIZE = 8192
-"""Scores that are remembered: the same nodes are ranked some times a second."""
+"""Scores in the cache: the same nodes are ranked several times a second."""
 
 
 class PrefixName(NamedTuple):
-    """The name of a kept prefix: `blocks` whole blocks ending at `digest`."""
+    """The name of a cached prefix: `blocks` full blocks, the last one with `digest`."""
 
     customer: str
     model: str
@@ -43,7 +43,7 @@
 
     @property
     def folder(self) -> str:
-        """Return the path under which all kept lengths of this root lie."""
+        """Return the common path of all cached lengths of prompts with this first block."""
         return f"{self.customer}/{self.model}/{self.version}/{self.root}"
 
     @property
@@ -53,7 +53,7 @@
 
 
 class ManifestPart(NamedTuple):
-    """A stored piece of a prefix: its id, length in bytes and digest."""
+    """A stored part of a prefix: its id, length in bytes and digest."""
 
     id: str
     length: int
@@ -61,9 +61,9 @@
 
 
 class Manifest(NamedTuple):
-    """What makes a kept prefix visible.
+    """The list of the parts of a stored prefix; writing it makes the prefix visible.
 
-    Part ids carry the attempt, so the parts of two exporters never mix.
+    Part ids contain the attempt, so that parts of two exporters are never mixed.
     """
 
     path: str
@@ -75,9 +75,9 @@
 
 
 def chained_digests(text: bytes, *, salt: str) -> list[str]:
-    """Return a digest for each whole block of `text`, each over all before it.
+    """Return a digest for each full block of `text`, chained over all blocks before it.
 
-    A last block that is not full has no digest: it is always recomputed.
+    A last block that is not full has no digest and is always recomputed.
     """
     key = hashlib.sha256(salt.encode()).digest()
     digests: list[str] = []
@@ -109,10 +109,10 @@
 
 
 def rank(key: str, names: Iterable[tuple[str, float]]) -> list[str]:
-    """Return `names` by weighted rendezvous hash of `key`, best first.
+    """Return `names` ordered by weighted rendezvous hash of `key`, highest score first.
 
-    Each name comes with its weight (above 0).  Taking a name away moves only
-    the keys that it was best for.
+    Each name comes with its weight (above 0).  Removing a name moves only the
+    keys for which it was first.
     """
     scored = sorted((-_score(key, name, weight), name) for name, weight in names)
     return [name for _, name in scored]
--- a/packages/core/src/fielddrift_core/prompt.py
+++ b/packages/core/src/fielddrift_core/prompt.py
@@ -1,7 +1,7 @@
 """Describe a prompt as its parts, in order.
 
-Parts are shared between requests, but for the last one, which belongs to the
-request or its session.
+Requests can have parts in common, except for the last part, which belongs to
+one request or its session.
 """
 
 from __future__ import annotations
@@ -12,14 +12,17 @@
 
 
 class Part(NamedTuple):
-    """A piece of a prompt: the id of its content, and its length in tokens."""
+    """A part of a prompt: the id of its content, and its length in tokens."""
 
     id: str
     tokens: int
 
 
 class Prompt(NamedTuple):
-    """What a request asks an engine for: the model, the parts, tokens to make at most."""
+    """A request to an engine: the model, the prompt's parts, its tokens and the output limit.
+
+    `tokens_in` is the length of the prompt, `tokens_out` the most tokens to generate.
+    """
 
     model: str
     parts: tuple[Part, ...]
@@ -28,10 +31,10 @@
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that a run needs of an engine's memory at most."""
+        """Return the most tokens that a run occupies in an engine's memory."""
         return self.tokens_in + self.tokens_out
 
     @property
     def shared(self) -> tuple[Part, ...]:
-        """Return the parts that other requests may have in common with this one."""
+        """Return the parts that other requests may also have."""
         return self.parts[:-1]
