--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -85,7 +85,7 @@
         self._translator = HeartbeatTranslator(views=self.views, neighbours=self.neighbours)
         self.gossip = Gossip(
             neighbours=self.neighbours,
-            heartbeat=lambda standing: self._translator.heartbeat(standing, leaving=False),
+            heartbeat=lambda relation: self._translator.heartbeat(relation, leaving=False),
             heard=self._translator.heard,
         )
         self.gossip.connection_made(_Datagrams(deliver))
--- a/packages/node/src/fielddrift_node/serving/gossip.py
+++ b/packages/node/src/fielddrift_node/serving/gossip.py
@@ -28,8 +28,8 @@
 _MAX_DATAGRAM_BYTES = 1400
 """Largest datagram that fits into one packet."""
 
-_UNKNOWN_STANDING = Relation(near=False, self_active=False, peer_active=False)
-"""Relation used for a node about which nothing is known yet."""
+_UNKNOWN_RELATION = Relation(near=False, self_active=False, peer_active=False)
+"""Relation to a node about which nothing is known yet."""
 
 _CRASH_UPDATE_MARKER = b"\xc1"
 """First byte of a datagram with a crash update. MessagePack does not use this byte, so no heartbeat
@@ -131,7 +131,7 @@
     def send_to_addresses(self, addresses: list[str]) -> None:
         """Send a heartbeat to addresses whose nodes are not known yet."""
         for address in addresses:
-            self._send_to(address, self._encoder.encode(self._heartbeat(_UNKNOWN_STANDING)))
+            self._send_to(address, self._encoder.encode(self._heartbeat(_UNKNOWN_RELATION)))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
@@ -207,10 +207,10 @@
         data: dict[Relation, bytes] = {}
         now = self._loop.time()
         for node in nodes:
-            standing = self._neighbours.relation(node, now)
-            if standing not in data:
-                data[standing] = self._encoder.encode(self._heartbeat(standing))
-            self._send_to(node.gossip, data[standing])
+            relation = self._neighbours.relation(node, now)
+            if relation not in data:
+                data[relation] = self._encoder.encode(self._heartbeat(relation))
+            self._send_to(node.gossip, data[relation])
 
     def _send_to(self, address: str, data: bytes) -> None:
         if self._transport is None:
--- a/packages/node/src/fielddrift_node/serving/heartbeats.py
+++ b/packages/node/src/fielddrift_node/serving/heartbeats.py
@@ -1,8 +1,8 @@
-"""Put what a node tells others into heartbeats, and what others tell into its views.
+"""Encode this node's views into heartbeats, and apply the heartbeats of other nodes to its views.
 
-Everyone hears of what keeps them from falling behind; what is sent to targets
-concerns active nodes only, and what stores keep only those nearby.  Other data centres
-hear from a relay what its whole data centre sends.
+All nodes get the versions by which they detect that they are behind. Only active nodes get the load
+on targets, and only those of the same data centre get what the stores hold. A relay sends other
+data centres the totals of its own data centre.
 """
 
 from __future__ import annotations
@@ -21,61 +21,61 @@
 
 __all__ = ["HeartbeatTranslator"]
 
-_MOST_LEFT = 16
-"""Leaving targets in one heartbeat: a release replaces a few at a time.  Where more leave, as
-with a whole data centre, heartbeats tell of them in turn."""
-_MOST_WEIGHTS = 16
-"""Engines whose new weights are told in one heartbeat: more than load within one."""
-_MOST_LIMITS = 16
-"""Limits of targets in one heartbeat, the newest words: owners renew them with each answer."""
+_MAX_LEAVING_COUNT = 16
+"""Leaving targets per heartbeat: a release replaces a few at a time. If more are leaving, such as a
+whole data centre, successive heartbeats list them in turn."""
+_MAX_WEIGHTS_COUNT = 16
+"""Engines per heartbeat whose new weights are reported; fewer than this load within one period."""
+_MAX_LIMIT_COUNT = 16
+"""Target limits per heartbeat, newest first; their owners renew them with each answer."""
 _LIMIT_PREFIX = "limit:"
-"""Begins the names among the loads of targets under which heartbeats tell of limits: a field of
-its own would have nodes of the release before refuse the whole heartbeat."""
-_LONGEST_LOADING_SECONDS = 2.0
-"""How long another node's word that an engine loads is believed at most."""
+"""Prefix of the names under which limits are sent among the loads of targets. Nodes of the previous
+release would reject the whole heartbeat if it had an additional field."""
+_MAX_LOADING_SECONDS = 2.0
+"""Maximum time for which another node's report that an engine is loading is trusted."""
 
 _log = structlog.get_logger()
 
 
 class HeartbeatTranslator:
-    """Translate between this node's views and heartbeats."""
+    """Translates between this node's views and heartbeats."""
 
     def __init__(self, *, views: Views, neighbours: Neighbours) -> None:
         self._views = views
         self._neighbours = neighbours
-        self._next_left = 0
-        """Where the next heartbeat goes on among the leaving targets."""
+        self._next_leaving_index = 0
+        """Position among the leaving targets at which the next heartbeat continues."""
 
-    def heartbeat(self, standing: Relation, *, leaving: bool) -> Heartbeat:
-        """Return what to tell a node that stands so to this one."""
-        heartbeat = self._common(standing, leaving)
-        if not standing.peer_active:
+    def heartbeat(self, relation: Relation, *, leaving: bool) -> Heartbeat:
+        """Return the heartbeat for a node with the given `relation` towards this one."""
+        heartbeat = self._base_heartbeat(relation, leaving)
+        if not relation.peer_active:
             return heartbeat
         views = self._views
         now = asyncio.get_running_loop().time()
-        weights = list(views.weights.items())[-_MOST_WEIGHTS:]
+        weights = list(views.weights.items())[-_MAX_WEIGHTS_COUNT:]
         heartbeat = heartbeat._replace(
             weights=tuple((instance, model, version) for (instance, model), version in weights),
         )
-        if not standing.near:
-            return self._for_remote(heartbeat, now)
+        if not relation.near:
+            return self._add_data_centre_totals(heartbeat, now)
         return heartbeat._replace(
-            burdens=views.workload.own() | self._marks(),
+            burdens=views.workload.own() | self._extra_entries(),
             loading=views.loading.own(now),
             moves=views.links.own(now),
             kept=views.store_index.marks(now),
             lateness=views.lateness.own(now),
         )
 
-    def _for_remote(self, heartbeat: Heartbeat, now: float) -> Heartbeat:
-        """Return `heartbeat` with what this node's whole data centre tells others."""
+    def _add_data_centre_totals(self, heartbeat: Heartbeat, now: float) -> Heartbeat:
+        """Return `heartbeat` with the totals of this node's data centre, for other data centres."""
         views, neighbours = self._views, self._neighbours
         nodes = [node.name for node in neighbours.nearby_active(now)]
         size = neighbours.size(now)
         burdens = views.workload.total(nodes, now)
         name = size_entry_name(neighbours.me.data_centre)
         burdens[name] = Burden(running=size.active, memory=size.alive)
-        burdens |= self._marks()
+        burdens |= self._extra_entries()
         return heartbeat._replace(
             burdens=burdens,
             loading=views.loading.in_data_centre(now),
@@ -83,37 +83,37 @@
         )
 
     def heard(self, heartbeat: Heartbeat) -> None:
-        """Take what another node tells."""
+        """Apply a heartbeat of another node to the views."""
         views = self._views
         now = asyncio.get_running_loop().time()
-        centre = heartbeat.node.data_centre
-        remote = centre != self._neighbours.me.data_centre
-        # Both relays of a data centre tell of the same sends.
-        teller = centre if remote else heartbeat.node.name
+        data_centre = heartbeat.node.data_centre
+        is_remote = data_centre != self._neighbours.me.data_centre
+        # Both relays of a data centre report the same sends.
+        reporter = data_centre if is_remote else heartbeat.node.name
         burdens = {target: Burden(*burden) for target, burden in heartbeat.burdens.items()}
         burdens.pop(EVACUATIONS_NAME, None)
         for name in [name for name in burdens if name.startswith(_LIMIT_PREFIX)]:
-            self._heard_limit(name, burdens.pop(name), heartbeat.node.name)
-        size = burdens.pop(size_entry_name(centre), None)
+            self._apply_limit(name, burdens.pop(name), heartbeat.node.name)
+        size = burdens.pop(size_entry_name(data_centre), None)
         if size is not None:
-            self._neighbours.set_size(centre, DataCentreSize(size.running, size.memory))
-        if views.workload.update_node(teller, burdens, now):
-            # Only then is there more room than before: who waits weighs all engines anew.
+            self._neighbours.set_size(data_centre, DataCentreSize(size.running, size.memory))
+        if views.workload.update_node(reporter, burdens, now):
+            # Only then has capacity been freed; waiting requests evaluate all engines again.
             views.service_queues.wake_all()
         views.heard_ages(heartbeat.named_ages, now)
-        views.links.update_node(teller, heartbeat.moves, now)
+        views.links.update_node(reporter, heartbeat.moves, now)
         views.lateness.merge_reported(heartbeat.lateness, now)
         for name in heartbeat.left:
-            self._heard_left(name, heartbeat.node.name)
+            self._apply_leaving(name, heartbeat.node.name)
         for name, seconds in heartbeat.loading.items():
-            until = now + min(seconds, _LONGEST_LOADING_SECONDS)
-            views.loading.record_reported(name, until, remote=remote)
+            until = now + min(seconds, _MAX_LOADING_SECONDS)
+            views.loading.record_reported(name, until, remote=is_remote)
         for instance, model, version in heartbeat.weights:
             if version > views.weights.get((instance, model), 0):
                 views.saw_weights(instance, model, version)
                 views.loading.ended(instance)
 
-    def _common(self, standing: Relation, leaving: bool) -> Heartbeat:
+    def _base_heartbeat(self, relation: Relation, leaving: bool) -> Heartbeat:
         views = self._views
         now = asyncio.get_running_loop().time()
         return Heartbeat(
@@ -122,60 +122,60 @@
             leaving=leaving,
             active=self._neighbours.is_active(now),
             load=views.load.value(now),
-            period=self._neighbours.period(standing, now),
+            period=self._neighbours.period(relation, now),
             catalog=0 if views.catalog is None else views.catalog.version,
             named=dict(views.named),
             named_ages=views.named_times.ages(now),
             reading=views.reading(now),
-            left=self._left(),
-            burdens=self._marks(),
+            left=self._leaving_slice(),
+            burdens=self._extra_entries(),
         )
 
-    def _left(self) -> tuple[str, ...]:
-        """Return the leaving targets that the next heartbeat tells of."""
+    def _leaving_slice(self) -> tuple[str, ...]:
+        """Return the leaving targets that the next heartbeat lists."""
         leaving = sorted(self._views.registry.leaving())
-        if len(leaving) <= _MOST_LEFT:
+        if len(leaving) <= _MAX_LEAVING_COUNT:
             return tuple(leaving)
-        first = self._next_left % len(leaving)
-        self._next_left = first + _MOST_LEFT
-        return tuple((leaving + leaving)[first : first + _MOST_LEFT])
+        first = self._next_leaving_index % len(leaving)
+        self._next_leaving_index = first + _MAX_LEAVING_COUNT
+        return tuple((leaving + leaving)[first : first + _MAX_LEAVING_COUNT])
 
-    def _marks(self) -> dict[str, Burden]:
-        """Return how far this node knows evacuations, and limits, under names kept for them."""
+    def _extra_entries(self) -> dict[str, Burden]:
+        """Return the version of the evacuations and the limits as entries with reserved names."""
         row = self._views.evacuations.row
         marks = {EVACUATIONS_NAME: Burden(memory=row)} if row else {}
         now = asyncio.get_running_loop().time()
-        for word in self._views.limits.words(now, _MOST_LIMITS):
-            marks[_LIMIT_PREFIX + word.target] = _limit_mark(word)
+        for word in self._views.limits.words(now, _MAX_LIMIT_COUNT):
+            marks[_LIMIT_PREFIX + word.target] = _encode_limit(word)
         return marks
 
-    def _heard_limit(self, name: str, mark: Burden, told_by: str) -> None:
-        word = _limit_word(name, mark)
+    def _apply_limit(self, name: str, entry: Burden, told_by: str) -> None:
+        word = _decode_limit(name, entry)
         now = asyncio.get_running_loop().time()
         if word is not None and self._views.limits.told(word, now):
             log_limit(word.target, word.rate, told_by)
 
-    def _heard_left(self, name: str, told_by: str) -> None:
+    def _apply_leaving(self, name: str, told_by: str) -> None:
         registry = self._views.registry
         if name not in registry.leaving() and registry.get(name) is not None:
             _log.info("target leaving", target=name, told_by=told_by)
-        # Also where this node has not read its entry yet.
+        # Recorded even if this node has not read the target's entry yet.
         registry.left(name)
 
 
-def _limit_mark(word: LimitWord) -> Burden:
-    """Return a word as a load: its age in ms, and a thousandth of a request a second more than
-    the rate, 0 for none."""
+def _encode_limit(word: LimitWord) -> Burden:
+    """Encode a limit as a load: its age in ms, and its rate in thousandths of a request per second
+    plus one, 0 for no limit."""
     rate = 0 if word.rate is None else 1 + round(word.rate * 1000)
     return Burden(running=1, unread=round(word.age * 1000), memory=rate)
 
 
-def _limit_word(name: str, mark: Burden) -> LimitWord | None:
-    """Return the word in a load, None for the sum of several nodes' words.
+def _decode_limit(name: str, entry: Burden) -> LimitWord | None:
+    """Decode a limit from a load; return None for a sum of the limits of several nodes.
 
-    A relay of the release before takes words for loads, and adds up its neighbours'.
+    A relay of the previous release takes limits for loads and adds up those of its neighbours.
     """
-    if mark.running != 1:
+    if entry.running != 1:
         return None
-    rate = (mark.memory - 1) / 1000 if mark.memory else None
-    return LimitWord(name.removeprefix(_LIMIT_PREFIX), rate, mark.unread / 1000)
+    rate = (entry.memory - 1) / 1000 if entry.memory else None
+    return LimitWord(name.removeprefix(_LIMIT_PREFIX), rate, entry.unread / 1000)
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -120,7 +120,7 @@
         )
         self._gossip = Gossip(
             neighbours=self._neighbours,
-            heartbeat=lambda standing: self._heartbeats.heartbeat(standing, leaving=self._leaving),
+            heartbeat=lambda relation: self._heartbeats.heartbeat(relation, leaving=self._leaving),
             heard=self._heard,
             crashes=self._crashes,
         )
