--- a/packages/core/src/fielddrift_core/cold_targets.py
+++ b/packages/core/src/fielddrift_core/cold_targets.py
@@ -72,7 +72,7 @@
 
         `nodes` are those that were active of late.
         """
-        lists = self._recent.lists(nodes, now)
+        lists = self._recent.valid_lists(nodes, now)
         return min(self._share(target, each, bound) for each in lists)
 
     def _share(self, target: str, nodes: frozenset[str], bound: float) -> int:
--- a/packages/core/src/fielddrift_core/eras.py
+++ b/packages/core/src/fielddrift_core/eras.py
@@ -1,28 +1,28 @@
-"""Put a version of the platform's store and the era that it is of into one number.
+"""Combine a version of the platform's store with the store's era into one number.
 
-A store that comes back from an older copy begins a new era, in which versions are given out
-again.  A mark of a newer era is greater than any of an older one, so marks are compared, kept
-and told as versions are.
+A store that is restored from an older copy begins a new era, in which it assigns versions
+again.  The combined version of a newer era is greater than any of an older era, so combined
+versions can be compared, stored and sent like plain ones.
 """
 
 from __future__ import annotations
 
-__all__ = ["era_of", "mark", "version_of"]
+__all__ = ["combine", "era_of", "version_of"]
 
 _VERSION_BITS = 44
-"""Bits of a version: 17 million million writes, 1,200 a second for centuries."""
+"""Bits of a plain version: 17 * 10**12 writes, which is 1,200 per second for centuries."""
 
 
-def mark(era: int, version: int) -> int:
-    """Return the mark of `version` in `era`."""
+def combine(era: int, version: int) -> int:
+    """Return the combined version of `version` in `era`."""
     return (era << _VERSION_BITS) | version
 
 
 def era_of(number: int) -> int:
-    """Return the era of a mark."""
+    """Return the era of a combined version."""
     return number >> _VERSION_BITS
 
 
 def version_of(number: int) -> int:
-    """Return the version of a mark, as the store knows it."""
+    """Return the plain version of a combined one, as the store uses it."""
     return number & ((1 << _VERSION_BITS) - 1)
--- a/packages/core/src/fielddrift_core/evacuations.py
+++ b/packages/core/src/fielddrift_core/evacuations.py
@@ -1,9 +1,9 @@
-"""Know the data centres that operators evacuate: their targets are to get nothing.
+"""Track the data centres that operators evacuate: their targets receive no requests.
 
-The state is told whole, as of a version of the operators' rows, so whoever has the later
-version is right, also about evacuations that were taken back.  When the platform's store
-comes back from an older copy of itself, an evacuation may be missing there that was in
-force: it is held for a while, for operators write it again or know that it is over.
+Nodes exchange the complete state, as of a version of the operators' rows, so the state with
+the later version is valid, also for evacuations that were ended.  When the platform's store
+is restored from an older copy, an evacuation in force may be missing from it.  It is held for
+a while, until operators write it again or know that it has ended.
 """
 
 from __future__ import annotations
@@ -13,28 +13,31 @@
 
 from .eras import era_of
 
-__all__ = ["EVACUATIONS_NAME", "EvacuationNews", "EvacuationState", "Evacuations"]
+__all__ = ["EVACUATIONS_NAME", "EvacuationChanges", "EvacuationState", "Evacuations"]
 
 EVACUATIONS_NAME = "operators:evacuations"
-"""The name among the loads of targets under which heartbeats tell of the last change: a
-field of its own would have nodes of the release before refuse the whole heartbeat."""
-_LOST_SECONDS = 30.0
-"""How long an evacuation is held that a store lost: longer than its history, in which
-operators see that it went back."""
+"""The entry among the loads of targets with which heartbeats report the last change: nodes of
+the previous release would reject the whole heartbeat for a new field."""
+_LOST_HOLD_SECONDS = 30.0
+"""How long an evacuation is held that a store has lost: longer than the store's history, in
+which operators see that it was restored."""
 
 
-class EvacuationNews(NamedTuple):
-    """What a reading of the operators' rows tells; with `whole`, `begun` are all there are."""
+class EvacuationChanges(NamedTuple):
+    """The result of a read of the operators' rows.
 
-    begun: frozenset[str] = frozenset()
+    With `whole`, `started` are all evacuations in force; otherwise it and `ended` are changes.
+    """
+
+    started: frozenset[str] = frozenset()
     ended: frozenset[str] = frozenset()
     whole: bool = False
 
 
 class EvacuationState(NamedTuple):
-    """All evacuated data centres; `row` is the operators' row at which the last change showed.
+    """All evacuated data centres; `row` is the operators' row version of the last change.
 
-    `held` gives the seconds for which those are held besides that a store lost.
+    `held` gives the remaining seconds of those held in addition because a store has lost them.
     """
 
     data_centres: tuple[str, ...] = ()
@@ -43,7 +46,7 @@
 
 
 class Evacuations:
-    """The evacuated data centres, as far as this node knows.  Not safe for threads."""
+    """The evacuated data centres known to this node.  Not thread-safe."""
 
     def __init__(self) -> None:
         self._written: frozenset[str] = frozenset()
@@ -53,51 +56,52 @@
 
     @property
     def row(self) -> int:
-        """Return the operators' row at which the last change showed, 0 for none yet."""
+        """Return the operators' row version of the last change, 0 before the first one."""
         return self._row
 
     def current(self, now: float) -> frozenset[str]:
-        """Return the data centres whose targets are to get nothing."""
+        """Return the data centres whose targets receive no requests."""
         if not self._held:
             return self._written
         return self._written | {name for name, until in self._held.items() if now < until}
 
     def state(self, now: float) -> EvacuationState:
-        """Return everything, for other nodes."""
+        """Return the complete state, for other nodes."""
         held = {name: until - now for name, until in self._held.items() if now < until}
         return EvacuationState(tuple(sorted(self._written)), self._row, held)
 
-    def read(self, news: EvacuationNews, row: int, now: float) -> None:
-        """Take what this node itself read, as of the operators' `row`."""
-        before = frozenset[str]() if news.whole else self._written
-        self._take((before | news.begun) - news.ended, row, now)
-        for name in news.ended:
-            # Taken back by an operator, who knows of it.
+    def read(self, changes: EvacuationChanges, row: int, now: float) -> None:
+        """Apply changes that this node has read itself, as of the operators' row version `row`."""
+        before = frozenset[str]() if changes.whole else self._written
+        self._set((before | changes.started) - changes.ended, row, now)
+        for name in changes.ended:
+            # Ended by an operator, so it is not lost.
             self._held.pop(name, None)
 
-    def copied(self, state: EvacuationState, *, read: int, known: int, now: float) -> None:
-        """Take what another node has, who read the operators' rows up to `read`.
+    def merge(self, state: EvacuationState, *, read: int, known: int, now: float) -> None:
+        """Merge the state of another node, which has read the operators' rows up to `read`.
 
-        `known` is how far this node has read: where that is further, it knows better.
+        `known` is the version up to which this node has read; where it is later than `read`,
+        the other state is outdated and not applied.
         """
         if read >= known:
-            self._take(frozenset(state.data_centres), state.row, now)
+            self._set(frozenset(state.data_centres), state.row, now)
             for name, seconds in state.held.items():
                 self._held[name] = max(self._held.get(name, 0.0), now + seconds)
-        # Also where nothing is taken: the same news must not be asked for again.
+        # Also if the state was not applied, so that it is not requested again.
         self._row = max(self._row, state.row)
 
-    def _take(self, written: Collection[str], row: int, now: float) -> None:
+    def _set(self, written: Collection[str], row: int, now: float) -> None:
         written = frozenset(written)
         if written == self._written:
             return
         if era_of(row) > era_of(self._row) and self._row:
-            self._hold(self._written - written, now)
+            self._hold_lost(self._written - written, now)
         for name in written:
             self._held.pop(name, None)
         self._written = written
         self._row = max(self._row, row)
 
-    def _hold(self, lost: Iterable[str], now: float) -> None:
+    def _hold_lost(self, lost: Iterable[str], now: float) -> None:
         for name in lost:
-            self._held[name] = now + _LOST_SECONDS
+            self._held[name] = now + _LOST_HOLD_SECONDS
--- a/packages/core/src/fielddrift_core/leaving.py
+++ b/packages/core/src/fielddrift_core/leaving.py
@@ -1,35 +1,39 @@
-"""Decide what a node that was told to stop still takes.
+"""Decide which requests a node still accepts after it received the signal to stop.
 
-Callers may keep a node's address for some seconds after it left the entry
-answers, so it serves on for a while.  What comes later than that, and may not
-end before the node does, is better off elsewhere at once.
+Callers may use a node's address for some seconds after it has been removed from the entry
+responses, so the node continues to serve for a while.  A later request is refused at once if
+it may not complete before the node stops: another node can serve it.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-__all__ = ["Leaving", "longest_answer"]
+__all__ = ["DrainWindow", "max_response_seconds"]
 
-_TAKEN_SECONDS = 2.5
-"""Time after the signal within which everything is taken: a cut by the end of the grace is
-excused for requests sent within 3 s of the signal, and their way takes some of it."""
-_TOKEN_SECONDS = 0.08
-"""Time of a token at a crowded engine, twice the usual one and more: an answer that a stop
+_ACCEPT_ALL_SECONDS = 2.5
+"""Time after the signal within which every request is accepted.  A response that is cut at the
+end of the grace period is excused for requests sent within 3 s of the signal, and the transit
+of the request takes part of that."""
+_SECONDS_PER_TOKEN = 0.08
+"""Time per token at a crowded engine, more than twice the usual one: a response that the stop
 would cut is better refused at once."""
 
 
-class Leaving(NamedTuple):
-    """When a node was told to stop, and when it closes what is still open."""
+class DrainWindow(NamedTuple):
+    """When a node received the signal to stop, and when it closes its open connections."""
 
-    began: float
-    closes: float
+    started_at: float
+    closes_at: float
 
-    def takes(self, now: float, longest: float) -> bool:
-        """Return whether a request that comes `now` and lasts up to `longest` seconds is taken."""
-        return now - self.began <= _TAKEN_SECONDS or now + longest <= self.closes
+    def accepts(self, now: float, max_seconds: float) -> bool:
+        """Return whether a request is accepted at `now` that takes up to `max_seconds`."""
+        return now - self.started_at <= _ACCEPT_ALL_SECONDS or now + max_seconds <= self.closes_at
 
 
-def longest_answer(*, aim: float, tokens: int) -> float:
-    """Return how many seconds a stream of up to `tokens` may take, begun in the time of `aim`."""
-    return aim + tokens * _TOKEN_SECONDS
+def max_response_seconds(*, latency_goal: float, tokens: int) -> float:
+    """Return the maximum seconds of a stream of up to `tokens`.
+
+    `latency_goal` is the seconds until its first token.
+    """
+    return latency_goal + tokens * _SECONDS_PER_TOKEN
--- a/packages/core/src/fielddrift_core/limit_share.py
+++ b/packages/core/src/fielddrift_core/limit_share.py
@@ -57,7 +57,7 @@
 
         `nodes` are those that were active of late, `rate` the limit for all nodes together.
         """
-        lists = self._recent.lists(nodes, now)
+        lists = self._recent.valid_lists(nodes, now)
         return max(self._spacing(target, max(rate, _LEAST_RATE), each) for each in lists)
 
     def _spacing(self, target: str, rate: float, nodes: frozenset[str]) -> float:
--- a/packages/core/src/fielddrift_core/recent_nodes.py
+++ b/packages/core/src/fielddrift_core/recent_nodes.py
@@ -1,4 +1,4 @@
-"""Know which lists of nodes still bind while nodes come and go."""
+"""Track which lists of nodes are still valid while nodes join and leave."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 
 
 class RecentNodes:
-    """The newest list of nodes, and former ones for `hold` seconds after they were replaced.
+    """The current list of nodes, and former lists for `hold` seconds after their replacement.
 
-    What is shared out among nodes must fit every list that some of them still go by.
+    Shares that are derived from a list of nodes must fit every list that some node may still
+    use.
     """
 
     def __init__(self, *, hold: float) -> None:
         self._hold = hold
         self._nodes: frozenset[str] | None = None
         self._former: deque[tuple[float, frozenset[str]]] = deque()
-        """Former lists, and until when each binds."""
+        """Former lists, each with the time until which it is valid."""
 
-    def lists(self, nodes: frozenset[str], now: float) -> set[frozenset[str]]:
-        """Return the lists that bind, `nodes` being the newest."""
+    def valid_lists(self, nodes: frozenset[str], now: float) -> set[frozenset[str]]:
+        """Set the current list to `nodes`, and return all lists that are valid."""
         if self._nodes is not None and nodes != self._nodes:
             self._former.append((now + self._hold, self._nodes))
         self._nodes = nodes
--- a/packages/node/src/fielddrift_node/serving/gateway.py
+++ b/packages/node/src/fielddrift_node/serving/gateway.py
@@ -8,7 +8,7 @@
 import structlog
 from fielddrift_core.catalog import Route
 from fielddrift_core.errors import ERROR_RESPONSES, ErrorKind, Ran, Refusal
-from fielddrift_core.leaving import longest_answer
+from fielddrift_core.leaving import max_response_seconds
 
 from ..web.server import Request, Responder
 from .call import Call, Refused, ServingContext, Trace
@@ -94,9 +94,13 @@
         longest = call.deadline - now
         if call.service.engine is not None and call.parsed.prompt is not None:
             tokens = call.parsed.prompt.tokens_out
-            longest = min(longest, longest_answer(aim=call.route.latency_goal, tokens=tokens))
-        if not leaving.takes(now, longest):
-            detail = f"this node stops in {leaving.closes - now:.2f} s, it may take {longest:.2f} s"
+            longest = min(
+                longest, max_response_seconds(latency_goal=call.route.latency_goal, tokens=tokens)
+            )
+        if not leaving.accepts(now, longest):
+            detail = (
+                f"this node stops in {leaving.closes_at - now:.2f} s, it may take {longest:.2f} s"
+            )
             raise Refused(Refusal(ErrorKind.STOPPING, detail, Ran.NO, _ELSEWHERE_SECONDS))
 
     # --- judging ------------------------------------------------------------
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -10,7 +10,7 @@
 
 import structlog
 from fielddrift_core.eras import era_of
-from fielddrift_core.leaving import Leaving
+from fielddrift_core.leaving import DrainWindow
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours
 
 from ..web.client import Client
@@ -285,7 +285,7 @@
         began = loop.time()
         until = began + self._settings.bounds.grace - _STOP_SPARE_SECONDS
         self._leaving = True
-        self._views.leaving = Leaving(began, until)
+        self._views.leaving = DrainWindow(began, until)
         self._report()
         self._entry_server.leave()
         self._gossip.send_to_all()
--- a/packages/node/src/fielddrift_node/serving/operator_feed.py
+++ b/packages/node/src/fielddrift_node/serving/operator_feed.py
@@ -219,7 +219,7 @@
     def _take_evacuations(self, state: EvacuationState, row: int) -> None:
         now = asyncio.get_running_loop().time()
         known = self._evacuations_row
-        self._views.evacuations.copied(state, read=row, known=known, now=now)
+        self._views.evacuations.merge(state, read=row, known=known, now=now)
         self._evacuations_row = max(known, row)
 
     def _take(
--- a/packages/node/src/fielddrift_node/serving/ports.py
+++ b/packages/node/src/fielddrift_node/serving/ports.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple, Protocol
 
 from fielddrift_core.catalog import Catalog, StoreTraits
-from fielddrift_core.evacuations import EvacuationNews
+from fielddrift_core.evacuations import EvacuationChanges
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_notices import TargetNotice
 from fielddrift_core.target_registry import Instance
@@ -91,7 +91,7 @@
     catalog: Catalog | None
     weights: tuple[NamedWeights, ...]
     version: int
-    evacuations: EvacuationNews = EvacuationNews()
+    evacuations: EvacuationChanges = EvacuationChanges()
 
 
 class TargetChanges(NamedTuple):
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -11,7 +11,7 @@
 from fielddrift_core.cold_targets import ColdSends
 from fielddrift_core.crashes import CrashHistory
 from fielddrift_core.evacuations import Evacuations
-from fielddrift_core.leaving import Leaving
+from fielddrift_core.leaving import DrainWindow
 from fielddrift_core.linkqueue import LinkQueue
 from fielddrift_core.loading import LoadingEngines
 from fielddrift_core.memory import EngineMemory
@@ -105,7 +105,7 @@
         self._weights_seen = 0
         self._placeable: dict[tuple[str, str], Placeable] = {}
         self._began_at = began_at
-        self.leaving: Leaving | None = None
+        self.leaving: DrainWindow | None = None
         """Set once this node was told to stop."""
         self._refreshed = asyncio.Event()
         self._clock: tuple[int, float] | None = None
--- a/tests/test_duty_eras.py
+++ b/tests/test_duty_eras.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from unittest import mock
 
-from fielddrift_core.eras import era_of, mark, version_of
+from fielddrift_core.eras import combine, era_of, version_of
 from fielddrift_core.rollout import LEASE_SECONDS
 from fielddrift_node.serving.duty import DutyLease
 from fielddrift_node.serving.ports import RemoteCallError, RowWrite, SavedRow, WriteOutcome
@@ -50,7 +50,7 @@
     async def rows(self, table: str) -> tuple[list[SavedRow], float]:
         found, clock = await self._table.rows(table)
         self.era = self._table.store_era
-        return [r._replace(version=mark(self.era, r.version)) for r in found], clock
+        return [r._replace(version=combine(self.era, r.version)) for r in found], clock
 
     async def write(self, table: str, writes: list[RowWrite]) -> WriteOutcome:
         (write,) = writes
@@ -63,7 +63,7 @@
         self.era = self._table.store_era
         if write.expect and self.era != before:
             raise RemoteCallError("a write under a condition met a new era")
-        return outcome._replace(version=mark(self.era, outcome.version))
+        return outcome._replace(version=combine(self.era, outcome.version))
 
 
 class DutyEraWalk(DutyWalk):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -9,8 +9,8 @@
 
 import msgspec
 from fielddrift_core.catalog import CatalogCustomer, EngineTraits, Route, StoreTraits
-from fielddrift_core.eras import mark
-from fielddrift_core.evacuations import EvacuationNews, Evacuations, EvacuationState
+from fielddrift_core.eras import combine
+from fielddrift_core.evacuations import EvacuationChanges, Evacuations, EvacuationState
 from fielddrift_core.target_registry import Instance, TargetRegistry
 from fielddrift_node.serving.feeds import Feed
 from fielddrift_node.serving.sharing import OperatorCopy, Peers
@@ -24,8 +24,8 @@
 """Requests of each kind: enough to reach each of two targets."""
 
 
-def news(*begun: str, ended: tuple[str, ...] = (), whole: bool = False) -> EvacuationNews:
-    return EvacuationNews(frozenset(begun), frozenset(ended), whole)
+def news(*begun: str, ended: tuple[str, ...] = (), whole: bool = False) -> EvacuationChanges:
+    return EvacuationChanges(frozenset(begun), frozenset(ended), whole)
 
 
 class TestEvacuations(unittest.TestCase):
@@ -55,14 +55,14 @@
         known = Evacuations()
         known.read(news("a"), 10, 0.0)
         known.read(news(ended=("a",)), 14, 0.0)
-        known.copied(EvacuationState(("a",), 15), read=16, known=20, now=0.0)
+        known.merge(EvacuationState(("a",), 15), read=16, known=20, now=0.0)
         self.assertEqual(known.current(0.0), frozenset())
         self.assertEqual(known.row, 15)
 
     def test_a_copy_from_who_read_more_is_taken_whole(self) -> None:
         known = Evacuations()
         known.read(news("a"), 10, 0.0)
-        known.copied(EvacuationState(("b",), 18), read=20, known=12, now=0.0)
+        known.merge(EvacuationState(("b",), 18), read=20, known=12, now=0.0)
         self.assertEqual(known.current(0.0), {"b"})
 
     def test_begun_and_taken_back_between_two_readings_leaves_nothing(self) -> None:
@@ -72,25 +72,25 @@
 
     def test_what_a_store_that_went_back_lacks_is_held_for_a_while(self) -> None:
         known = Evacuations()
-        known.read(news("a", "b"), mark(1, 50), 0.0)
-        known.read(news("b", whole=True), mark(2, 40), 5.0)
+        known.read(news("a", "b"), combine(1, 50), 0.0)
+        known.read(news("b", whole=True), combine(2, 40), 5.0)
         self.assertEqual(known.current(5.0), {"a", "b"})
         self.assertEqual(known.current(5.0 + LOST_SECONDS), {"b"})
 
     def test_who_copies_from_who_met_the_new_era_holds_it_as_long(self) -> None:
         reader, other = Evacuations(), Evacuations()
-        reader.read(news("a"), mark(1, 50), 0.0)
-        reader.read(news(whole=True), mark(2, 40), 5.0)
-        other.copied(reader.state(25.0), read=mark(2, 41), known=0, now=25.0)
+        reader.read(news("a"), combine(1, 50), 0.0)
+        reader.read(news(whole=True), combine(2, 40), 5.0)
+        other.merge(reader.state(25.0), read=combine(2, 41), known=0, now=25.0)
         self.assertEqual(other.current(26.0), {"a"})
         self.assertEqual(other.current(5.0 + LOST_SECONDS), frozenset())
 
     def test_what_is_taken_back_in_the_new_era_is_over(self) -> None:
         known = Evacuations()
-        known.read(news("a"), mark(1, 50), 0.0)
-        known.read(news(whole=True), mark(2, 40), 5.0)
-        known.read(news("a"), mark(2, 44), 6.0)
-        known.read(news(ended=("a",)), mark(2, 45), 7.0)
+        known.read(news("a"), combine(1, 50), 0.0)
+        known.read(news(whole=True), combine(2, 40), 5.0)
+        known.read(news("a"), combine(2, 44), 6.0)
+        known.read(news(ended=("a",)), combine(2, 45), 7.0)
         self.assertEqual(known.current(7.0), frozenset())
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from fielddrift_core import leaving
-from fielddrift_core.leaving import Leaving, longest_answer
+from fielddrift_core.leaving import DrainWindow, max_response_seconds
 from fielddrift_standins.worker import Worker
 
 from .platform_fleet import BOUNDS, FleetCase, ask, prompt
@@ -18,7 +18,7 @@
 class TestLeaving(FleetCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        patch = mock.patch.object(leaving, "_TAKEN_SECONDS", LATE)
+        patch = mock.patch.object(leaving, "_ACCEPT_ALL_SECONDS", LATE)
         patch.start()
         self.addCleanup(patch.stop)
         self.engine = await self.fleet.worker(Worker(name="e1", events=3), "engines")
@@ -52,7 +52,7 @@
 
 class LeavingTest(FleetCase):
     async def test_what_comes_soon_is_taken_whatever_it_needs(self) -> None:
-        stop = Leaving(began=100.0, closes=107.1)
-        self.assertTrue(stop.takes(102.4, 30.0))
-        self.assertFalse(stop.takes(103.4, longest_answer(aim=0.3, tokens=159)))
-        self.assertTrue(stop.takes(103.4, longest_answer(aim=0.5, tokens=9)))
+        stop = DrainWindow(started_at=100.0, closes_at=107.1)
+        self.assertTrue(stop.accepts(102.4, 30.0))
+        self.assertFalse(stop.accepts(103.4, max_response_seconds(latency_goal=0.3, tokens=159)))
+        self.assertTrue(stop.accepts(103.4, max_response_seconds(latency_goal=0.5, tokens=9)))
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 from fielddrift_core.crashes import Crash
-from fielddrift_core.eras import mark
+from fielddrift_core.eras import combine
 from fielddrift_core.target_registry import RESPITE_SECONDS
 from fielddrift_node.serving.ports import HistoryTruncated, RemoteCallError, RowWrite
 from fielddrift_node.web.client import Reply
@@ -223,7 +223,7 @@
 
     async def test_a_condition_of_an_older_era_does_not_hold(self) -> None:
         self._answer(1)
-        row = mark(1, 4)
+        row = combine(1, 4)
         await self.store.target_changes(None)
         self._answer(2)
         await self.store.target_changes(None)
@@ -237,5 +237,5 @@
         await self.store.target_changes(None)
         self._answer(2)
         with self.assertRaises(RemoteCallError) as caught:
-            await self.store.write("t", [RowWrite("k", b"v", mark(1, 4))])
+            await self.store.write("t", [RowWrite("k", b"v", combine(1, 4))])
         self.assertFalse(caught.exception.not_executed)
