--- a/bench/choice.py
+++ b/bench/choice.py
@@ -31,7 +31,7 @@
 from fielddrift_core.workload import Burden
 from fielddrift_node.serving.call import Call, ServingContext, Trace
 from fielddrift_node.serving.crash_watch import CrashWatch
-from fielddrift_node.serving.kept import KeptParts, salt_of
+from fielddrift_node.serving.kept import PartTransferPlanner, salt_of
 from fielddrift_node.serving.metrics import Metrics
 from fielddrift_node.serving.notices import NoticeHandler
 from fielddrift_node.serving.placing import Placement
@@ -163,7 +163,7 @@
     route, service = catalog.routes["h"][0], catalog.services[_SERVICE]
     now = loop.time()
     call = Call(parsed, catalog, route, service, None, now, now + 4.0, Trace())
-    return Placement(context=context, kept=KeptParts(views=views)), context, call
+    return Placement(context=context, kept=PartTransferPlanner(views=views)), context, call
 
 
 async def measure(fleet: Fleet) -> float:
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -20,7 +20,7 @@
 from ..web.server import Responder
 from .begin_watch import StaleWeightsTimeout
 from .call import Call, ServingContext, short_id
-from .kept import KeptParts
+from .kept import PartTransferPlanner
 from .placing import FIRST_EVENT_TIMEOUT_ESTIMATES, Placement
 from .ports import OutgoingRequest
 from .trying import AttemptFailed, Attempts, send_once
@@ -78,7 +78,7 @@
 
     def __init__(self, *, context: ServingContext) -> None:
         self._context = context
-        self._kept = KeptParts(views=context.views)
+        self._kept = PartTransferPlanner(views=context.views)
         self._placing = Placement(context=context, kept=self._kept)
 
     async def serve(self, call: Call, responder: Responder) -> None:
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -27,7 +27,7 @@
 from fielddrift_core.workload import Burden
 
 from .call import Call, Refused, ServingContext
-from .kept import KeptLookup, KeptParts
+from .kept import PartTransferPlanner, StoredPartLookup
 from .rooms import ServiceQueue
 from .trying import Attempts
 
@@ -70,7 +70,7 @@
 class Placement:
     """Choose engines for prompts."""
 
-    def __init__(self, *, context: ServingContext, kept: KeptParts) -> None:
+    def __init__(self, *, context: ServingContext, kept: PartTransferPlanner) -> None:
         self._context = context
         self._kept = kept
 
@@ -210,7 +210,7 @@
         )
 
     def _sights(
-        self, call: Call, tried: set[str], lookup: KeptLookup, wanted: _Wanted, now: float
+        self, call: Call, tried: set[str], lookup: StoredPartLookup, wanted: _Wanted, now: float
     ) -> list[EngineState]:
         """Return what is known of the engines that are weighed for a prompt."""
         prompt, traits = call.parsed.prompt, call.service.engine
@@ -260,7 +260,7 @@
         self,
         call: Call,
         candidate: _Candidate,
-        lookup: KeptLookup,
+        lookup: StoredPartLookup,
         soon: frozenset[str],
         now: float,
     ) -> EngineState:
