--- a/packages/core/src/fielddrift_core/rollout.py
+++ b/packages/core/src/fielddrift_core/rollout.py
@@ -1,9 +1,9 @@
 """Decide which engines load new weights next, and when this node may order it.
 
-The duty's lease is a row in the platform's table, timed by the platform's
-steady clock.  Its holder counts the lease from the latest moment that the
-clock may show, a successor waits until the earliest moment has passed it and
-a whole turn besides.  The row's version is the fence that orders carry.
+The lease of a duty is a row in the platform's table, timed by the platform's steady clock.
+The holder measures its lease by the latest time that this clock may show.  A successor
+waits until the earliest time that it may show is past the end of the lease, plus a
+takeover delay.  The version of the row is the fencing token that orders carry.
 """
 
 from __future__ import annotations
@@ -34,29 +34,34 @@
 ]
 
 LEASE_SECONDS = 1.2
-"""How long orders may be given after a grant: two renewals' time, so that a
-killed holder's duty moves on within seconds."""
+"""How long the holder may give orders after a grant: the time of two renewals, so that the
+duty of a killed holder is taken over within seconds."""
 _TAKEOVER_MARGIN_SECONDS = 0.3
-"""Seconds beyond a turn that a successor waits: an order may be some time on its way."""
+"""Added to the takeover delay, since the last order of the previous holder may still be in
+transit."""
 _LOADING_DIVISOR = 3
-"""One in so many engines loads at once: the others carry the work meanwhile."""
+"""One in so many engines loads at the same time; the others serve requests meanwhile."""
 _MIN_CONCURRENT_LOADS = 3
-"""Engines that load as quickly together as one alone."""
+"""Number of engines that can load concurrently without slowing each other down."""
 _RANK_CACHE_SIZE = 16
-"""Rollouts whose order is remembered: some models at a time, each with a few sets of engines."""
+"""Rollouts whose engine order is cached: some models, each with a few sets of engines."""
 _MAX_VERSIONS = 4
-"""Versions of a model whose ages are told and saved: the time for older weights is over
-before operators name a fifth."""
+"""Versions of a model whose ages are shared and saved: the time limit for outdated weights
+ends before operators name a fifth version."""
 SAVED_ERROR_SECONDS = 0.5
-"""Seconds by which a saved naming may be later than a node knows it to be, beside what the
-node's own reading of the platform's clock may be off: other nodes' readings are too."""
+"""How much later a saved naming time may be than the one a node knows without being
+corrected.  The uncertainty of the node's own reading of the platform's clock is added; this
+constant covers that of the other nodes' readings."""
 _BEGIN_MARGIN_SECONDS = 0.5
-"""Seconds before the end of the time for older weights at which a request that waits is
-called off: an engine hears of it within some ms, over a link in trouble some hundred."""
+"""Time before the limit for outdated weights at which a waiting request is cancelled: the
+cancellation reaches an engine within some ms, or some hundred ms over a faulty link."""
 
 
 class DutyRow(NamedTuple):
-    """Who holds a duty, until when on the platform's clock (seconds), written in which era."""
+    """The lease of a duty: its holder, its end on the platform's clock in seconds, its era.
+
+    `era` is the store era in which the row was written.
+    """
 
     holder: str
     until: float
@@ -64,41 +69,48 @@
 
 
 class StoreClock(NamedTuple):
-    """A reading of the platform's clock: asked at `sent`, answered at `heard` (local)."""
+    """A reading of the platform's clock.
+
+    The request was sent at `sent` and answered at `heard`, both in local time (seconds).
+    """
 
     clock: float
     sent: float
     heard: float
 
     def earliest(self, now: float) -> float:
-        """Return the least that the platform's clock can show at `now`."""
+        """Return the earliest time that the platform's clock can show at local time `now`."""
         return self.clock + (now - self.heard)
 
     def local(self, moment: float) -> float:
-        """Return the local time at which the platform's clock may first show `moment`."""
+        """Return the earliest local time at which the platform's clock may show `moment`."""
         return self.sent + (moment - self.clock)
 
 
 def may_take_over(
-    row: DutyRow | None, *, holder: str, clock: StoreClock, now: float, turn: float
+    row: DutyRow | None, *, holder: str, clock: StoreClock, now: float, takeover_delay: float
 ) -> bool:
-    """Return whether `holder` may take the duty over now."""
+    """Return whether `holder` may take over the duty now.
+
+    `takeover_delay` is the seconds that must pass between the end of a lease and the first
+    order of another holder.
+    """
     if row is None or row.holder == holder:
         return True
-    return clock.earliest(now) >= row.until + turn + _TAKEOVER_MARGIN_SECONDS
+    return clock.earliest(now) >= row.until + takeover_delay + _TAKEOVER_MARGIN_SECONDS
 
 
-def next_check(row: DutyRow, *, clock: StoreClock, turn: float) -> float:
-    """Return the local time before which another's `row` cannot be found free.
+def next_check(row: DutyRow, *, clock: StoreClock, takeover_delay: float) -> float:
+    """Return the local time before which the duty of another holder's `row` cannot be free.
 
-    Its holder may give the duty back right after the reading, but no sooner.
+    The holder may release the duty right after the reading, but not earlier.
     """
-    soonest = min(row.until, clock.clock) + turn + _TAKEOVER_MARGIN_SECONDS
+    soonest = min(row.until, clock.clock) + takeover_delay + _TAKEOVER_MARGIN_SECONDS
     return clock.heard + (soonest - clock.clock)
 
 
 class VersionAge(NamedTuple):
-    """For how many seconds a weight version of a model has been known to anyone."""
+    """The seconds since a weight version of a model first became known to any node."""
 
     model: str
     version: int
@@ -106,57 +118,57 @@
 
 
 class Naming(NamedTuple):
-    """When a weight version was named, as far as anyone knows (seconds)."""
+    """A weight version, and the local time in seconds at which it was named."""
 
     version: int
     at: float
 
 
 def seconds_to_begin(outdated: float, *, max_outdated: float) -> float:
-    """Return in how many seconds a request must begin on weights `outdated` for so long.
+    """Return the seconds within which a request must begin on weights `outdated` for so long.
 
-    `bound` is the time for older weights; the newest weights, outdated for 0 s,
-    may be begun on at any time.
+    `max_outdated` is the time limit for outdated weights, in seconds.  On the newest weights,
+    outdated for 0 s, a request may begin at any time: the result is infinite.
     """
     return max_outdated - _BEGIN_MARGIN_SECONDS - outdated if outdated > 0 else float("inf")
 
 
-def earliest_takeover(era_since: float, *, turn: float) -> float:
-    """Return the first local time at which a duty may be taken that no row of this era names.
+def earliest_takeover(era_since: float, *, takeover_delay: float) -> float:
+    """Return the earliest local time at which a duty without a row in this era may be taken.
 
-    `era_since` is when the era was first met.  The store may have lost the row of a holder
-    whose lease ran then, and who gave its last order just before that ended.
+    `era_since` is when this node first observed the era.  The store may have lost the row of
+    a holder whose lease was valid then, and which gave its last order just before the end.
     """
-    return era_since + LEASE_SECONDS + turn + _TAKEOVER_MARGIN_SECONDS
+    return era_since + LEASE_SECONDS + takeover_delay + _TAKEOVER_MARGIN_SECONDS
 
 
 class NamingTimes:
-    """When each named weight version became known, here or to whoever told of it.
+    """When each named weight version first became known to this node or one that reported it.
 
-    Each version counts on its own: weights are outdated from when the first
-    newer version was named, however many were named since.
+    Weights are outdated from the time at which the first newer version was named, however
+    many versions were named after it.
     """
 
     def __init__(self) -> None:
         self._times: dict[str, dict[int, float]] = {}
 
     def heard(self, model: str, version: int, at: float) -> None:
-        """Take that `version` was known at the time `at`; the earliest time counts."""
+        """Record that `version` was known at local time `at`; the earliest time counts."""
         times = self._times.setdefault(model, {})
         times[version] = min(at, times.get(version, at))
 
     def named_at(self, model: str, version: int) -> float | None:
-        """Return when `version` became known, None when it is not."""
+        """Return the local time at which `version` became known, or None if it is unknown."""
         return self._times.get(model, {}).get(version)
 
     def first_newer(self, model: str, weights: int) -> Naming | None:
-        """Return the first naming that outdated `weights`, None when nothing newer was named."""
+        """Return the first naming of a version newer than `weights`, or None if there is none."""
         times = self._times.get(model, {})
         newer = [Naming(version, at) for version, at in times.items() if version > weights]
         return min(newer, key=lambda naming: naming.at, default=None)
 
     def newest(self, model: str) -> dict[int, float]:
-        """Return when the newest versions of `model` became known."""
+        """Return the local times at which the newest versions of `model` became known."""
         return _newest(self._times.get(model, {}))
 
     def ages(self, now: float) -> tuple[VersionAge, ...]:
@@ -168,7 +180,7 @@
         )
 
     def restore(self, model: str, saved: Mapping[int, float], clock: StoreClock) -> None:
-        """Take when versions of `model` were named on the platform's clock."""
+        """Record `saved` naming times of `model`, by version, on the platform's clock."""
         for version, moment in saved.items():
             self.heard(model, version, clock.local(moment))
 
@@ -176,9 +188,10 @@
 def times_to_save(
     own: Mapping[int, float], *, saved: Mapping[int, float], clock: StoreClock
 ) -> dict[int, float] | None:
-    """Return when versions were named on the platform's clock, None when `saved` says it.
+    """Return the naming times to save, by version, or None if `saved` is up to date.
 
-    `own` are local times.  Of each version the earliest time counts.
+    The result and `saved` are times on the platform's clock, `own` are local times.  The
+    earliest time of each version counts.
     """
     times = dict(saved)
     error = SAVED_ERROR_SECONDS + clock.heard - clock.sent
@@ -195,8 +208,9 @@
 
 
 class EngineWeights(NamedTuple):
-    """An engine as the rollout sees it; `outdated` is the seconds for which its weights
-    have not been the newest.
+    """The state of an engine in a rollout.
+
+    `outdated` is the number of seconds for which its weights have not been the newest.
     """
 
     name: str
@@ -209,23 +223,22 @@
 def next_loads(
     engines: Collection[EngineWeights], *, wanted: int, max_outdated: float
 ) -> list[str]:
-    """Return the engines that should begin to load the weights `wanted`.
+    """Return the names of the engines that should begin to load the weights `wanted`.
 
-    About a third loads at once, the first in line.  Engines that have been
-    outdated for the `longest` seconds begin at once, however many load.
+    About a third of the engines load at the same time.  Engines that have been outdated for
+    more than `max_outdated` seconds begin at once, however many others are loading.
     """
     late = [e.name for e in engines if _needs_load(e, wanted) and e.outdated > max_outdated]
-    in_line = [name for name in _load_order(engines, wanted) if name not in late]
+    queued = [name for name in _load_order(engines, wanted) if name not in late]
     free = _max_concurrent(engines) - sum(engine.loading for engine in engines)
-    return late + in_line[: max(0, free - len(late))]
+    return late + queued[: max(0, free - len(late))]
 
 
 def upcoming_loads(engines: Collection[EngineWeights], *, wanted: int) -> frozenset[str]:
-    """Return the engines that load the weights `wanted` after those that load now.
+    """Return the engines that will load the weights `wanted` after the current loads.
 
-    Every node finds the same ones.  Long answers sent there would hold their
-    loads up: an engine ends what it runs before it loads, and takes nothing new
-    meanwhile.
+    Every node computes the same set.  Long responses should not be sent there: before it
+    loads, an engine finishes its runs and accepts no new ones meanwhile.
     """
     return frozenset(_load_order(engines, wanted)[: _max_concurrent(engines)])
 
@@ -239,9 +252,9 @@
 
 
 def _load_order(engines: Collection[EngineWeights], wanted: int) -> list[str]:
-    """Return the engines that are yet to load, in the order in which they should.
+    """Return the engines that have yet to load, in the order in which they should.
 
-    Those with the oldest weights come first, and the data centres take turns.
+    Engines with the oldest weights come first; data centres alternate.
     """
     queues: dict[str, list[EngineWeights]] = {}
     for engine in engines:
@@ -249,15 +262,15 @@
             queues.setdefault(engine.data_centre, []).append(engine)
     if not queues:
         return []
-    places = _rank_positions(wanted, tuple(sorted(engine.name for engine in engines)))
+    positions = _rank_positions(wanted, tuple(sorted(engine.name for engine in engines)))
     for queue in queues.values():
-        # The first in line stands last, from where it is taken away.
-        queue.sort(key=lambda e: (-e.weights, -places[e.name]))
+        # Sorted in reverse, so that the next engine can be popped from the end.
+        queue.sort(key=lambda e: (-e.weights, -positions[e.name]))
     loading = Counter(engine.data_centre for engine in engines if engine.loading)
     line = []
     while queues:
         heads = [queue[-1] for queue in queues.values()]
-        first = min(heads, key=lambda e: (e.weights, loading[e.data_centre], places[e.name]))
+        first = min(heads, key=lambda e: (e.weights, loading[e.data_centre], positions[e.name]))
         queues[first.data_centre].pop()
         if not queues[first.data_centre]:
             del queues[first.data_centre]
@@ -268,6 +281,6 @@
 
 @lru_cache(maxsize=_RANK_CACHE_SIZE)
 def _rank_positions(wanted: int, names: tuple[str, ...]) -> Mapping[str, int]:
-    """Return each engine's place by rank; worked out once while a rollout's engines stay."""
+    """Return each engine's position by rank, cached per set of engines."""
     ranked = rank(str(wanted), [(name, 1.0) for name in names])
-    return {name: place for place, name in enumerate(ranked)}
+    return {name: position for position, name in enumerate(ranked)}
--- a/packages/core/src/fielddrift_core/waiting.py
+++ b/packages/core/src/fielddrift_core/waiting.py
@@ -1,9 +1,9 @@
-"""Order the prompts that wait at a node until an engine's memory has room for them.
+"""Queue prompts at a node until an engine's memory has room for them.
 
-Load pattern: more prompts come than the engines' memory holds.  An engine that
-is sent more takes them all: the most urgent push out runs that are under way,
-and those read their whole prompt again.  What waits here costs an engine
-nothing, and goes to whichever engine has room first.
+Load pattern: more prompts arrive than the engines' memory holds.  An engine accepts all
+prompts that it is sent: the most urgent ones preempt running ones, which then have to
+prefill their whole prompt again.  A prompt that waits at a node costs the engines nothing
+and goes to the first engine that has room.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 __all__ = ["MemoryTurnover", "PromptQueue", "WaitingPrompt", "queue_name"]
 
 _INITIAL_HOLD_SECONDS = 1.0
-"""How long a run is taken to keep its memory until some have ended: a second's answer."""
+"""Initial estimate of how long a run keeps its memory: a response of one second."""
 _HOLD_DECAY_TOKENS = 60_000
-"""Tokens of ended runs after which the seconds before them count a third: about what
-one engine holds, so that a crowd shows within one turn of its memory."""
+"""Tokens of ended runs after which the weight of the previous estimate falls to 1/e.  It is
+about what one engine holds, so that congestion shows within one turnover of its memory."""
 _RESERVED_FRACTION = 0.15
-"""Part of an engine's memory that is kept for the most urgent: what finds no room there
-pushes less urgent runs out, and each of these reads its whole prompt anew."""
+"""Fraction of an engine's memory reserved for the most urgent prompts.  A prompt without
+room preempts less urgent runs, each of which has to prefill its whole prompt again."""
 _HANDOVER_SECONDS = 0.06
 """Time from the end of a run until a prompt that waits at a node reaches the engine: the
-news of it, a look, a connection."""
+report of the end, the choice of an engine, and a connection."""
 _MIN_HOLD_SECONDS = 0.1
-"""Runs that are shorter are taken to keep their memory for so long."""
+"""Lower bound of the estimate; shorter runs count as if they kept their memory for so long."""
 
 
 def queue_name(service: str, rank: int) -> str:
-    """Return the name under which nodes tell each other what waits for `service`."""
+    """Return the key under which nodes report the prompts of `rank` that wait for `service`."""
     return f"line:{service}:{rank}"
 
 
 class WaitingPrompt(NamedTuple):
-    """A prompt that waits: after `due` (loop time) its answer would be late.
+    """A prompt in the queue; after `due` (loop time in seconds) its response would be late.
 
-    `request` names it in the load that nodes tell each other; `tokens` are the prompt's.
+    `request` is its key in the load reports between nodes, `tokens` the prompt's length.
     """
 
     request: str
@@ -47,10 +47,10 @@
 
 
 class PromptQueue:
-    """The prompts of one service that wait at this node.  Not safe for threads.
+    """The prompts of one service that wait at this node.  Not thread-safe.
 
-    The more urgent rank comes first, within a rank whoever would be late first.
-    Callers choose the ids of their requests, so two that wait may have the same one.
+    They are ordered by rank, lowest first, then by due time.  Prompts are identified by
+    object identity: callers choose request ids, so two waiting prompts may have the same id.
     """
 
     def __init__(self) -> None:
@@ -60,48 +60,51 @@
         return len(self._prompts)
 
     def add(self, prompt: WaitingPrompt) -> None:
-        """Put a prompt in line."""
+        """Add a prompt to the queue."""
         self._prompts[id(prompt)] = prompt
 
     def remove(self, prompt: WaitingPrompt) -> None:
-        """Take a prompt out."""
+        """Remove a prompt; one that is not queued is ignored."""
         self._prompts.pop(id(prompt), None)
 
     def head(self) -> WaitingPrompt | None:
-        """Return whose turn it is, None when nobody waits."""
-        return min(self._prompts.values(), key=lambda w: (w.rank, w.due), default=None)
+        """Return the first prompt, or None if the queue is empty."""
+        return min(self._prompts.values(), key=lambda p: (p.rank, p.due), default=None)
 
     def count_ahead(self, rank: int) -> int:
-        """Return how many prompts that wait come before a new one of `rank`."""
-        return sum(waiter.rank <= rank for waiter in self._prompts.values())
+        """Return the number of queued prompts that come before a new one of `rank`."""
+        return sum(prompt.rank <= rank for prompt in self._prompts.values())
 
 
 class MemoryTurnover:
-    """How long runs keep an engine's memory, by the tokens that they keep, in seconds."""
+    """Moving average of how long runs keep engine memory, weighted by their tokens."""
 
     def __init__(self) -> None:
         self._seconds = _INITIAL_HOLD_SECONDS
 
     @property
     def seconds(self) -> float:
-        """Return for how long a token was kept of late."""
+        """Return the average time in seconds for which a token of memory is kept."""
         return self._seconds
 
     def ended(self, tokens: int, seconds: float) -> None:
-        """Count a run that kept `tokens` for `seconds`."""
+        """Record the end of a run that kept `tokens` for `seconds`."""
         weight = 1.0 - math.exp(-tokens / _HOLD_DECAY_TOKENS)
         self._seconds += weight * (max(0.0, seconds) - self._seconds)
 
     def send_limit(self, rank: int, ranks: Sequence[int]) -> float:
-        """Return how much an engine may be sent for a prompt of `rank`, in parts of its memory.
+        """Return up to which fraction of its memory an engine is sent prompts of `rank`.
 
-        Beside what its memory holds, an engine needs what takes the place of the runs that
-        end before the next prompt can come from a node; without it, where runs are short,
-        engines rest while prompts wait.
+        The fraction may exceed 1: beside what its memory holds, an engine needs prompts that
+        replace the runs which end before the next prompt can arrive from a node.  Without
+        them engines would idle while prompts wait if runs are short.
         """
         part = 1.0 + _HANDOVER_SECONDS / max(_MIN_HOLD_SECONDS, self._seconds)
         return part if rank <= min(ranks, default=rank) else part - _RESERVED_FRACTION
 
     def wait(self, tokens: int, memory: int) -> float:
-        """Return the seconds until `tokens` are free at engines that keep `memory` in all."""
+        """Return the expected seconds until `tokens` are free.
+
+        `memory` is the total memory of the engines in tokens; 0 means unknown and gives 0.
+        """
         return tokens / memory * self._seconds if memory > 0 else 0.0
--- a/packages/core/src/fielddrift_core/workload.py
+++ b/packages/core/src/fielddrift_core/workload.py
@@ -1,7 +1,7 @@
-"""Follow what targets have to do: own sends exactly, other nodes' as they tell them.
+"""Track the work at targets: exactly for own sends, as reported for those of other nodes.
 
-A run counts its unread prompt until its first event, and a place until its
-end.  What other nodes told fades out when they fall silent.
+A run counts its tokens to prefill until its first event, and a running request until its
+end.  Reports of other nodes expire when no new ones arrive.
 """
 
 from __future__ import annotations
@@ -12,17 +12,20 @@
 __all__ = ["REPORT_TTL_SECONDS", "Burden", "Lateness", "PeakRate", "TargetHealth", "Workload"]
 
 REPORT_TTL_SECONDS = 1.5
-"""Age at which another node's word on its sends no longer counts: five of its heartbeats."""
+"""Age at which another node's report of its sends expires: five of its heartbeats."""
 
 _FAILURE_WEIGHT = 0.25
-"""Weight of the newest answer in a target's share of failures: about eight answers count."""
+"""Weight of the newest response in a target's failure rate: about eight responses count."""
 _FAILURE_HALF_LIFE_SECONDS = 4.0
-"""Time in which a share of failures halves while nothing is sent there."""
+"""Time in which a failure rate halves while nothing is sent to the target."""
 
 
 class Burden(NamedTuple):
-    """Runs at a target, the prompt tokens that it has yet to read for them, and
-    the tokens that they need of its memory."""
+    """The load that runs put on a target.
+
+    `running` counts the runs, `unread` the prompt tokens that are yet to be prefilled, and
+    `memory` the tokens that the runs need of the target's memory.
+    """
 
     running: int = 0
     unread: int = 0
@@ -50,17 +53,17 @@
 
 
 class Workload:
-    """Burdens by target.  Not safe for threads.
+    """Burdens by target.  Not thread-safe.
 
-    Totals are kept as runs begin and end and as nodes tell of theirs: a choice that
-    weighs all targets must not add up all nodes for each of them.
+    Totals are updated as runs begin and end and as reports arrive, since a choice among all
+    targets must not add up the reports of all nodes for each target.
     """
 
     def __init__(self) -> None:
         self._runs: dict[str, dict[str, Burden]] = {}
         self._own: dict[str, Burden] = {}
         self._reports: dict[str, _NodeReport] = {}
-        """What each node told last, the oldest first."""
+        """The last report of each node, the oldest first."""
         self._others: dict[str, Burden] = {}
 
     def begin(self, target: str, run: str, unread: int, memory: int = 0) -> None:
@@ -68,13 +71,13 @@
         self._set(target, run, Burden(1, unread, memory))
 
     def read(self, target: str, run: str) -> None:
-        """Note that the prompt of `run` is read."""
+        """Record that the prompt of `run` has been prefilled."""
         known = self._runs.get(target, {}).get(run)
         if known is not None:
             self._set(target, run, known._replace(unread=0))
 
     def end(self, target: str, run: str) -> None:
-        """Forget a run."""
+        """Remove a run; one that is not known is ignored."""
         runs = self._runs.get(target, {})
         if run in runs:
             _add(self._own, target, _IDLE - runs.pop(run))
@@ -82,11 +85,11 @@
                 del self._runs[target]
 
     def own(self) -> dict[str, Burden]:
-        """Return this node's own burdens, for the other nodes."""
+        """Return the burdens of this node's own sends, by target."""
         return dict(self._own)
 
     def update_node(self, node: str, burdens: Mapping[str, Burden], now: float) -> bool:
-        """Take what another node says of its own sends; True when some target has less to do."""
+        """Replace the report of `node`; return whether it needs less memory of some target."""
         before = self._forget(node)
         for target, burden in burdens.items():
             _add(self._others, target, burden)
@@ -96,17 +99,17 @@
         )
 
     def total(self, nodes: Iterable[str], now: float) -> dict[str, Burden]:
-        """Return the burdens of this node and of `nodes` in one."""
+        """Return the summed burdens of this node and of `nodes`, by target."""
         self._expire(now)
         totals = dict(self._own)
         for node in nodes:
-            told = self._reports.get(node)
-            for target, burden in told.burdens.items() if told is not None else ():
+            report = self._reports.get(node)
+            for target, burden in report.burdens.items() if report is not None else ():
                 _add(totals, target, burden)
         return totals
 
     def burden_of(self, target: str, now: float) -> Burden:
-        """Return everything known to be at `target`."""
+        """Return the total burden of `target`, of all nodes."""
         self._expire(now)
         return self._own.get(target, _IDLE) + self._others.get(target, _IDLE)
 
@@ -116,18 +119,18 @@
         runs[run] = burden
 
     def _forget(self, node: str) -> Mapping[str, Burden]:
-        told = self._reports.pop(node, None)
-        if told is None:
+        report = self._reports.pop(node, None)
+        if report is None:
             return {}
-        for target, burden in told.burdens.items():
+        for target, burden in report.burdens.items():
             _add(self._others, target, _IDLE - burden)
-        return told.burdens
+        return report.burdens
 
     def _expire(self, now: float) -> None:
-        """Forget the nodes that fell silent: only the oldest words are looked at."""
+        """Remove expired reports; only the oldest ones are checked."""
         while self._reports:
-            node, told = next(iter(self._reports.items()))
-            if now - told.received_at <= REPORT_TTL_SECONDS:
+            node, report = next(iter(self._reports.items()))
+            if now - report.received_at <= REPORT_TTL_SECONDS:
                 return
             self._forget(node)
 
@@ -141,9 +144,9 @@
 
 
 _LATENESS_WEIGHT = 0.4
-"""Weight of the newest fetch in a store's lateness: two or three tell of a slow link."""
+"""Weight of the newest fetch in a store's lateness: two or three fetches show a slow link."""
 _LATENESS_HALF_LIFE_SECONDS = 2.0
-"""Time in which a lateness halves: a link is tried again some seconds after it was slow."""
+"""Time in which a lateness halves: a slow link is tried again after some seconds."""
 
 
 class _DecayingLateness(NamedTuple):
@@ -158,10 +161,11 @@
 
 
 class Lateness:
-    """By how many seconds fetches from a store came later than estimated, of late.
+    """By how many seconds recent fetches from each store exceeded their estimates.
 
-    What all stores have in common is the engines' doing, not the links'.  Only what
-    this node saw itself is told on, or it would be renewed at each hop and never fade.
+    Lateness that all stores have in common is caused by the engines, not by the links, and
+    is subtracted.  A node reports only what it observed itself: forwarding the reports of
+    others would renew them at each hop, and they would never decay.
     """
 
     def __init__(self) -> None:
@@ -169,38 +173,38 @@
         self._reported: dict[str, _DecayingLateness] = {}
 
     def observe(self, store: str, seconds: float, now: float) -> None:
-        """Count a fetch that took `seconds` longer than estimated."""
+        """Record a fetch that took `seconds` longer than estimated."""
         late = self._own.get(store, _NO_LATENESS).decayed(now)
         self._own[store] = _DecayingLateness(
             late + _LATENESS_WEIGHT * (max(0.0, seconds) - late), now
         )
 
     def merge_reported(self, lateness: Mapping[str, float], now: float) -> None:
-        """Take what another node saw, where it is worse."""
+        """Merge another node's report, in seconds by store; the higher value counts."""
         for store, seconds in lateness.items():
             if seconds > self._reported.get(store, _NO_LATENESS).decayed(now):
                 self._reported[store] = _DecayingLateness(seconds, now)
 
     def own(self, now: float) -> dict[str, float]:
-        """Return the lateness of each store that this node saw itself, in seconds."""
+        """Return the lateness of each store that this node itself observed, in seconds."""
         return {store: late.decayed(now) for store, late in self._own.items()}
 
     def for_store(self, store: str, now: float) -> float:
-        """Return by how much `store` is later than the quickest of the others."""
+        """Return by how many seconds `store` is later than the fastest of the others."""
         return self.by_store(now).get(store, 0.0)
 
     def by_store(self, now: float) -> dict[str, float]:
-        """Return by how much each store is later than the quickest of the others, in seconds."""
-        worst = {
+        """Return by how many seconds each store is later than the fastest of the others."""
+        highest = {
             store: self._highest(store, now) for store in self._own.keys() | self._reported.keys()
         }
-        if len(worst) < 2:
-            return worst
-        quickest, second = sorted(worst.values())[:2]
-        # The quickest store itself is compared with the second; it is never later.
+        if len(highest) < 2:
+            return highest
+        fastest, second = sorted(highest.values())[:2]
+        # The fastest store itself is compared with the second, so its lateness is 0.
         return {
-            store: max(0.0, late - (quickest if late > quickest else second))
-            for store, late in worst.items()
+            store: max(0.0, late - (fastest if late > fastest else second))
+            for store, late in highest.items()
         }
 
     def _highest(self, store: str, now: float) -> float:
@@ -210,22 +214,22 @@
 
 
 class TargetHealth:
-    """Judge targets by their answers; a share of failures from 0 to 1 each."""
+    """Recent failure rate of each target, from 0 to 1."""
 
     def __init__(self) -> None:
         self._rates: dict[str, tuple[float, float]] = {}
 
     def succeeded(self, target: str, now: float) -> None:
-        """Count an answer."""
+        """Record a successful response."""
         if target in self._rates:
             self._add(target, 0.0, now)
 
     def failed(self, target: str, now: float) -> None:
-        """Count a failure."""
+        """Record a failure."""
         self._add(target, 1.0, now)
 
     def share(self, target: str, now: float) -> float:
-        """Return the share of recent sends to `target` that failed."""
+        """Return the recent failure rate of `target`, from 0 to 1."""
         if target not in self._rates:
             return 0.0
         share, at = self._rates[target]
@@ -237,11 +241,11 @@
 
 
 _PEAK_WINDOW_SECONDS = 10
-"""How long a peak counts: longer than the waves of the users' traffic."""
+"""How long a peak counts; longer than the periodic bursts of the users' traffic."""
 
 
 class PeakRate:
-    """Events a second, as of the busiest second of late."""
+    """Events per second in the busiest second of the last ten."""
 
     def __init__(self) -> None:
         self._counts: dict[int, int] = {}
@@ -252,7 +256,7 @@
         self._counts[second] = self._counts.get(second, 0) + 1
 
     def value(self, now: float) -> float:
-        """Return the most events in any whole or running second that still counts."""
+        """Return the most events in any second of the window, the current one included."""
         for second in [s for s in self._counts if s < int(now) - _PEAK_WINDOW_SECONDS]:
             del self._counts[second]
         return float(max(self._counts.values(), default=0))
--- a/packages/node/src/fielddrift_node/serving/duty.py
+++ b/packages/node/src/fielddrift_node/serving/duty.py
@@ -91,16 +91,24 @@
             clock = self._clock
             if (row is None or row.era != self._platform.era) and self._platform.era:
                 # The row of a lease that was granted before the store was restored is lost.
-                earliest = earliest_takeover(self._era_since(), turn=self._takeover_seconds)
+                earliest = earliest_takeover(
+                    self._era_since(), takeover_delay=self._takeover_seconds
+                )
                 if now < earliest:
                     self._next_read_at = earliest
                     return False
             if not may_take_over(
-                row, holder=self._holder, clock=clock, now=now, turn=self._takeover_seconds
+                row,
+                holder=self._holder,
+                clock=clock,
+                now=now,
+                takeover_delay=self._takeover_seconds,
             ):
                 assert row is not None
                 # Reading earlier gives the same result and costs a call per node.
-                self._next_read_at = next_check(row, clock=clock, turn=self._takeover_seconds)
+                self._next_read_at = next_check(
+                    row, clock=clock, takeover_delay=self._takeover_seconds
+                )
                 return False
         return await self._write_lease()
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -42,14 +42,16 @@
         other = StoreClock(read_at, skew, skew + out + back)
         now = skew + out + back
         row = DutyRow("holder", 100.0 + until)
-        if may_take_over(row, holder="other", clock=other, now=now, turn=3.0):
+        if may_take_over(row, holder="other", clock=other, now=now, takeover_delay=3.0):
             true_now = read_at + back
             self.assertGreaterEqual(true_now + 1e-6, 100.0 + until + 3.0)
 
     def test_the_holder_itself_need_not_wait(self) -> None:
         clock = StoreClock(0.0, 0.0, 0.0)
         self.assertTrue(
-            may_take_over(DutyRow("me", 99.0), holder="me", clock=clock, now=0.0, turn=3.0)
+            may_take_over(
+                DutyRow("me", 99.0), holder="me", clock=clock, now=0.0, takeover_delay=3.0
+            )
         )
 
     def test_a_third_loads_at_once_over_all_data_centres(self) -> None:
