--- a/bench/choice.py
+++ b/bench/choice.py
@@ -146,7 +146,7 @@
         budgets={},
         rng=random.Random(seed),
         metrics=Metrics(),
-        sends_changed=lambda: None,
+        on_load_change=lambda: None,
         crashes=CrashWatch(
             views=views,
             client=LabClient(engines={}, targets=targets),
--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -112,7 +112,7 @@
             budgets={},
             rng=rng,
             metrics=self.metrics,
-            sends_changed=self.gossip.schedule_load_update,
+            on_load_change=self.gossip.schedule_load_update,
             crashes=crashes,
             gate=SendGate(views=self.views, neighbours=self.neighbours, bounds=BOUNDS),
             notices=NoticeHandler(views=self.views, changed=self.gossip.schedule_load_update),
--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -214,7 +214,7 @@
     budgets: dict[str, WindowBudget]
     rng: random.Random
     metrics: Metrics
-    sends_changed: Callable[[], None]
+    on_load_change: Callable[[], None]
     """Tells the nodes nearby soon what this one sends."""
     crashes: CrashCheck
     """Refuses requests that end their targets, and learns which do."""
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -263,7 +263,7 @@
                 call.parsed.prompt.tokens, now - run.began
             )
         views.service_queues.wake_all()
-        self._context.sends_changed()
+        self._context.on_load_change()
 
     # --- sending ---------------------------------------------------------------
 
@@ -353,7 +353,7 @@
             )
             views.links.add(view.traits.address, seconds, now)
         number = views.memory.sent(engine.name, send.salt, prompt.shared, traits.memory)
-        self._context.sends_changed()
+        self._context.on_load_change()
         kept = [part.id for part in prompt.shared if part.id not in held]
         saves = zip(prompt.parts, send.fetch.saves, strict=True)
         return _Ordered(number, send.salt, kept, [part.id for part, save in saves if save])
@@ -374,7 +374,7 @@
         views = self._context.views
         now = asyncio.get_running_loop().time()
         views.workload.read(choice.instance.name, call.trace.key)
-        self._context.sends_changed()
+        self._context.on_load_change()
         taken = now - began
         views.pace.observe(
             call.service.name,
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -1,4 +1,4 @@
-"""Put a serving node together, keep it running, and stop it without cutting anyone."""
+"""Assemble and run a serving node, and shut it down gracefully."""
 
 from __future__ import annotations
 
@@ -41,33 +41,34 @@
 
 __all__ = ["Dialects", "ServingNode"]
 
-_ENTRY_KEEP_SECONDS = 1.5
-"""How long callers keep an entry answer: a lost node is out of use within about two seconds."""
-_EARLY_KEEP_SECONDS = 0.3
-"""The same while this node has just joined: after a loss of power the nodes come up within
-half a second of each other, and the first ones are not those that should be active."""
-_EARLY_SECONDS = 1.5
-"""Time after joining within which the choice of active nodes may still change much."""
-_TICK_SECONDS = 0.2
-_REST_SECONDS = 0.5
-"""Rest before a loop that failed runs again."""
-_OLDEST_AGE_SECONDS = 1e6
-"""What the figures say of an age that is not known."""
+_ENTRY_CACHE_SECONDS = 1.5
+"""Time to live of an entry response at callers; a lost node is out of use in about 2 s."""
+_EARLY_ENTRY_CACHE_SECONDS = 0.3
+"""The same shortly after this node joined: after a power loss the nodes start within half a
+second of each other, and the first ones are not those that should be active."""
+_EARLY_PERIOD_SECONDS = 1.5
+"""Time after joining in which the set of active nodes may still change much."""
+_TICK_INTERVAL_SECONDS = 0.2
+_LOOP_RESTART_SECONDS = 0.5
+"""Delay before a loop that raised an exception is restarted."""
+_MAX_AGE_SECONDS = 1e6
+"""Value of the age gauges when the age is unknown."""
 _SETTLE_SECONDS = 0.15
-"""Time after joining within which the other nodes answer a greeting: some 10 ms, and
-more on slow links.  Until it is active, a node that starts alone follows no store."""
-_FREE_SECONDS = 1.0
-_STOP_LOOK_SECONDS = 0.05
-_STOP_SPARE_SECONDS = 0.9
-"""Time before the end of the grace at which the last connections are closed."""
-_QUIET_SECONDS = 2 * _ENTRY_KEEP_SECONDS
-"""Callers that keep an answer for long may come so late, when all is quiet."""
+"""Time after joining within which the other nodes reply to the first heartbeats: about 10 ms,
+more on slow links.  Until it is active, a node that starts alone follows no store host."""
+_FREE_INTERVAL_SECONDS = 1.0
+_DRAIN_POLL_SECONDS = 0.05
+_CLOSE_RESERVE_SECONDS = 0.9
+"""The node stops accepting connections this long before the end of the grace period, and closes
+the last ones half of this time later."""
+_IDLE_BEFORE_STOP_SECONDS = 2 * _ENTRY_CACHE_SECONDS
+"""Idle time before a stopping node closes: callers may use a cached entry response until then."""
 
 _log = structlog.get_logger()
 
 
 class Dialects(NamedTuple):
-    """How the outside speaks."""
+    """The wire protocols for callers, targets and entry requests."""
 
     callers: CallerDialect
     targets: TargetDialect
@@ -75,7 +76,7 @@
 
 
 class ServingNode:
-    """One node."""
+    """One serving node: its servers, shared views and background loops."""
 
     def __init__(
         self,
@@ -95,7 +96,7 @@
         self._leaving = False
         self._active: bool | None = None
         self._era: int | None = None
-        """The newest era of the platform's store that this node knows of, None for none yet."""
+        """Newest known era of the platform's store; None until one is known."""
         self._era_since = asyncio.get_running_loop().time()
         self._boot = time.time_ns() // 1_000_000
         gossip_address = f"{settings.host}:{settings.gossip_port}"
@@ -121,7 +122,7 @@
         self._gossip = Gossip(
             neighbours=self._neighbours,
             heartbeat=lambda relation: self._heartbeats.heartbeat(relation, leaving=self._leaving),
-            heard=self._heard,
+            heard=self._on_heartbeat,
             crashes=self._crashes,
         )
         self._membership = Membership(
@@ -136,7 +137,7 @@
         feed_tools = FeedTools(
             platform, peers, self._neighbours, self._views, rng, settings.bounds.staleness
         )
-        self._operators = OperatorFeed(tools=feed_tools, on_change=self._operators_changed)
+        self._operators = OperatorFeed(tools=feed_tools, on_change=self._on_operators_changed)
         self._targets = TargetFeed(
             tools=feed_tools,
             on_change=lambda: self._gossip.schedule_update(Scope.ALL),
@@ -192,12 +193,14 @@
             budgets={},
             rng=rng,
             metrics=self._metrics,
-            sends_changed=self._gossip.schedule_load_update,
+            on_load_change=self._gossip.schedule_load_update,
             crashes=self._crashes,
             gate=SendGate(views=self._views, neighbours=self._neighbours, bounds=settings.bounds),
             notices=notices,
         )
-        self._entry_server = Server(handler=Gateway(context=context).handle, limits=self._limits)
+        self._entry_server = Server(
+            handler=Gateway(context=context).handle, limits=self._server_limits
+        )
         directory = EntryHandler(
             dialect=dialects.entry,
             addresses=lambda data_centre: self._neighbours.addresses(
@@ -218,7 +221,7 @@
 
     @property
     def views(self) -> Views:
-        """Return what the node believes."""
+        """Return the node's views of the cluster."""
         return self._views
 
     @property
@@ -226,9 +229,11 @@
         return self._views.ready and not self._leaving
 
     def _entry_cache(self) -> float:
-        """Return for how many seconds callers may keep an entry answer given now."""
-        early = asyncio.get_running_loop().time() - self._membership.joined_at < _EARLY_SECONDS
-        keep = _EARLY_KEEP_SECONDS if early else _ENTRY_KEEP_SECONDS
+        """Return the seconds for which callers may cache an entry response sent now."""
+        early = (
+            asyncio.get_running_loop().time() - self._membership.joined_at < _EARLY_PERIOD_SECONDS
+        )
+        keep = _EARLY_ENTRY_CACHE_SECONDS if early else _ENTRY_CACHE_SECONDS
         return min(keep, self._settings.bounds.entry_cache)
 
     def _beliefs(self) -> bytes:
@@ -236,10 +241,10 @@
         name = "" if reader is None else reader.name
         return to_json(beliefs_of(self._views, self._neighbours, reader=name))
 
-    # --- life -----------------------------------------------------------------
+    # --- start and stop -------------------------------------------------------
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Serve until `stopping` is set, then leave."""
+        """Serve until `stopping` is set, then shut down gracefully."""
         settings = self._settings
         await self._listen(self._directory_server, settings.ready)
         await self._listen(self._directory_server, settings.directory)
@@ -261,32 +266,32 @@
             self._free,
             self._tick,
         ):
-            self._tasks.append(asyncio.ensure_future(self._guard(work)))
+            self._tasks.append(asyncio.ensure_future(self._run_with_restart(work)))
         await stopping.wait()
-        await self._leave()
+        await self._shut_down()
 
     async def _listen(self, server: Server, address: str) -> None:
         host, _, port = address.rpartition(":")
         await server.start(host, int(port))
 
-    async def _guard(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Keep a loop going: a fault of ours must not end the process."""
+    async def _run_with_restart(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Run a loop and restart it after an exception: a bug must not end the process."""
         while True:
             try:
                 await work()
                 return
             except Exception:
                 _log.exception("loop failed", loop=work.__qualname__)
-                await asyncio.sleep(_REST_SECONDS)
+                await asyncio.sleep(_LOOP_RESTART_SECONDS)
 
-    async def _leave(self) -> None:
-        """Go: off the entry answers at once, let requests end, close last."""
+    async def _shut_down(self) -> None:
+        """Drain the node: leave the entry responses at once, finish requests, then close."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        until = began + self._settings.bounds.grace - _STOP_SPARE_SECONDS
+        started_at = loop.time()
+        drain_deadline = started_at + self._settings.bounds.grace - _CLOSE_RESERVE_SECONDS
         self._leaving = True
-        self._views.leaving = DrainWindow(began, until)
-        self._report()
+        self._views.leaving = DrainWindow(started_at, drain_deadline)
+        self._update_status()
         self._entry_server.leave()
         self._gossip.send_to_all()
         _log.info("leaving", busy=self._entry_server.busy)
@@ -294,17 +299,19 @@
             await self._rollout_runner.stop()
         except RemoteCallError as error:
             _log.warning("duty not given back", error=str(error))
-        quiet_since = loop.time()
-        while loop.time() < until:
+        idle_since = loop.time()
+        while loop.time() < drain_deadline:
             if self._entry_server.busy:
-                quiet_since = loop.time()
-            if loop.time() - quiet_since > _QUIET_SECONDS:
+                idle_since = loop.time()
+            if loop.time() - idle_since > _IDLE_BEFORE_STOP_SECONDS:
                 break
-            await asyncio.sleep(_STOP_LOOK_SECONDS)
+            await asyncio.sleep(_DRAIN_POLL_SECONDS)
         self._entry_server.stop_accepting()
-        while self._entry_server.busy and loop.time() < until + _STOP_SPARE_SECONDS / 2:
-            await asyncio.sleep(_STOP_LOOK_SECONDS)
-        _log.info("stopped", cut=self._entry_server.busy, seconds=round(loop.time() - began, 2))
+        while self._entry_server.busy and loop.time() < drain_deadline + _CLOSE_RESERVE_SECONDS / 2:
+            await asyncio.sleep(_DRAIN_POLL_SECONDS)
+        _log.info(
+            "stopped", cut=self._entry_server.busy, seconds=round(loop.time() - started_at, 2)
+        )
         for task in self._tasks:
             task.cancel()
         self._gossip.close()
@@ -315,27 +322,27 @@
         self._client.close()
         self._peer_client.close()
 
-    # --- loops ------------------------------------------------------------------
+    # --- background loops -------------------------------------------------------
 
     async def _tick(self) -> None:
-        """Notice pauses of this process."""
+        """Detect pauses of this process, and refresh status, role and gauges periodically."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_TICK_SECONDS)
-            late = self._views.tick(loop.time(), rest=_TICK_SECONDS)
-            if late > PAUSE_SECONDS:
-                _log.warning("this process was paused", seconds=round(late, 2))
+            await asyncio.sleep(_TICK_INTERVAL_SECONDS)
+            delay = self._views.tick(loop.time(), rest=_TICK_INTERVAL_SECONDS)
+            if delay > PAUSE_SECONDS:
+                _log.warning("this process was paused", seconds=round(delay, 2))
                 self._operators.again()
                 self._targets.again()
-            self._note_era(loop.time())
+            self._check_store_era(loop.time())
             for data_centre in self._views.note_evacuations(loop.time()).ended:
                 _log.warning("evacuation held no longer", data_centre=data_centre)
-            self._report()
+            self._update_status()
             self._views.nodes = self._neighbours.sharing(loop.time())
-            self._note_role(loop.time())
-            self._gauge(loop.time())
+            self._update_role(loop.time())
+            self._update_gauges(loop.time())
 
-    def _report(self) -> None:
+    def _update_status(self) -> None:
         now = asyncio.get_running_loop().time()
         self._neighbours.update_self(
             serving=self._serving,
@@ -343,32 +350,32 @@
             settled=now - self._membership.joined_at > _SETTLE_SECONDS,
         )
 
-    def _note_era(self, now: float) -> None:
-        """Notice that the platform's store came back from a copy, and have its rows mended."""
+    def _check_store_era(self, now: float) -> None:
+        """Detect that the platform's store was restored from a backup, and repair its rows."""
         views = self._views
         row = max(views.operators_row, views.targets_row)
         era = max(era_of(row), self._platform.era)
         if not row or era == self._era:
             return
-        former, self._era = self._era, era
-        if former is None:
+        previous, self._era = self._era, era
+        if previous is None:
             return
         self._era_since = now
         by = "platform" if self._platform.era == era else "neighbours"
-        _log.warning("store went back", era=era, before=former, told_by=by)
+        _log.warning("store went back", era=era, before=previous, told_by=by)
         self._metrics.store_returns.inc()
         self._membership.mark_store_restored()
         self._named_rows.mark_store_restored()
         self._crash_rows.mark_store_restored()
 
-    def _note_role(self, now: float) -> None:
+    def _update_role(self, now: float) -> None:
         active = self._neighbours.is_active(now)
         if active is not self._active:
             self._active = active
             _log.info("active" if active else "standing by", nodes=self._views.nodes)
             self._store_tracker.look()
 
-    def _gauge(self, now: float) -> None:
+    def _update_gauges(self, now: float) -> None:
         views, metrics = self._views, self._metrics
         metrics.catalog.set(0 if views.catalog is None else views.catalog.version)
         metrics.targets.set(len(views.registry))
@@ -381,14 +388,14 @@
         metrics.platform_calls.set(self._platform.calls)
         metrics.store_era.set(self._era or 0)
         metrics.unreadable_rows.set(self._platform.unreadable)
-        metrics.operators_age.set(min(now - views.operators_at, _OLDEST_AGE_SECONDS))
-        metrics.targets_age.set(min(now - views.targets_at, _OLDEST_AGE_SECONDS))
+        metrics.operators_age.set(min(now - views.operators_at, _MAX_AGE_SECONDS))
+        metrics.targets_age.set(min(now - views.targets_at, _MAX_AGE_SECONDS))
 
     async def _free(self) -> None:
-        """Free what is outdated, from the first active node only."""
+        """Periodically free outdated cached parts; only the coordinator node does so."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_FREE_SECONDS)
+            await asyncio.sleep(_FREE_INTERVAL_SECONDS)
             self._store_tracker.note_use()
             if self._leaving or not self._neighbours.is_coordinator(loop.time()):
                 continue
@@ -397,20 +404,20 @@
             except RemoteCallError as error:
                 _log.warning("parts not freed", error=str(error))
 
-    # --- what is told and heard ---------------------------------------------------
+    # --- callbacks ----------------------------------------------------------------
 
-    def _operators_changed(self) -> None:
-        self._report()
+    def _on_operators_changed(self) -> None:
+        self._update_status()
         self._named_rows.schedule_save()
         self._store_tracker.look()
         self._gossip.schedule_update(Scope.ALL)
 
-    def _heard(self, heartbeat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._heartbeats.heard(heartbeat)
         self._operators.heard(heartbeat)
         self._targets.heard(heartbeat.node, heartbeat.reading)
 
-    def _limits(self) -> Limits:
+    def _server_limits(self) -> Limits:
         catalog = self._views.catalog
         if catalog is None:
             return Limits()
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -155,7 +155,7 @@
         workload, name = self._context.views.workload, queue_name(call.service.name, rank)
         room.queue.add(waiter)
         workload.begin(name, waiter.request, 0, prompt.tokens)
-        self._context.sends_changed()
+        self._context.on_load_change()
         try:
             while (left := due - loop.time()) > 0:
                 await room.wait_turn(waiter, min(left, _LOOK_SECONDS))
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -4,7 +4,7 @@
 
 import json
 
-from fielddrift_node.serving.node import _EARLY_KEEP_SECONDS, _ENTRY_KEEP_SECONDS
+from fielddrift_node.serving.node import _EARLY_ENTRY_CACHE_SECONDS, _ENTRY_CACHE_SECONDS
 from fielddrift_standins.worker import Worker
 
 from .platform_fleet import FleetCase, RunningNode, ask, eventually, get, prompt
@@ -21,10 +21,10 @@
             answer = await get(node.settings.directory, QUESTION)
             return json.loads(answer.body)["ttl-s"] if answer.status == 200 else 0.0
 
-        self.assertEqual(await keep(), _EARLY_KEEP_SECONDS)
+        self.assertEqual(await keep(), _EARLY_ENTRY_CACHE_SECONDS)
 
         async def kept_for_long() -> bool:
-            return await keep() == _ENTRY_KEEP_SECONDS
+            return await keep() == _ENTRY_CACHE_SECONDS
 
         await eventually(kept_for_long)
 
