--- a/packages/node/src/fielddrift_node/serving/begin_watch.py
+++ b/packages/node/src/fielddrift_node/serving/begin_watch.py
@@ -1,4 +1,4 @@
-"""Call a send off that waits at its engine until its weights are outdated for too long."""
+"""Cancel a send that waits at its engine until its weights have been outdated for too long."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 __all__ = ["StaleWeightsTimeout"]
 
-_LOOK_SECONDS = 0.2
-"""Between looks: weights may be named, or an earlier naming heard of, while a send waits."""
+_CHECK_INTERVAL_SECONDS = 0.2
+"""Interval between checks: newer weights may be named, or an earlier naming become known, while
+a send waits."""
 
 
 class StaleWeightsTimeout:
-    """Watch one send from its leaving to its first event; `bound` is the time for older weights."""
+    """A timeout for one send, from sending to its first event.
+
+    `bound` is the maximum time in seconds for which requests may start on outdated weights.
+    """
 
     def __init__(self, *, views: Views, model: str, weights: int, bound: float) -> None:
         self._views = views
@@ -29,25 +33,25 @@
 
     @property
     def expired(self) -> bool:
-        """Return whether the send was called off."""
+        """Return whether the send was cancelled because of its weights."""
         return self._expired
 
     @contextmanager
-    def over(self, limit: asyncio.Timeout) -> Iterator[None]:
-        """Let `limit` expire as soon as the send must not begin any more."""
-        self._look(limit)
+    def applied_to(self, limit: asyncio.Timeout) -> Iterator[None]:
+        """Make `limit` expire as soon as the send must not start any more."""
+        self._check(limit)
         try:
             yield
         finally:
             if self._timer is not None:
                 self._timer.cancel()
 
-    def _look(self, limit: asyncio.Timeout) -> None:
+    def _check(self, limit: asyncio.Timeout) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
-        patience_ends = limit.when()
-        if patience_ends is not None and patience_ends <= now:
-            # The route's patience is over in this moment: that is why the send ends.
+        expires_at = limit.when()
+        if expires_at is not None and expires_at <= now:
+            # The timeout has expired by itself, so it is not attributed to the weights.
             return
         outdated = self._views.outdated_seconds(self._model, self._weights, now)
         left = seconds_to_begin(outdated, max_outdated=self._bound)
@@ -55,4 +59,4 @@
             self._expired = True
             limit.reschedule(now)
             return
-        self._timer = loop.call_later(min(left, _LOOK_SECONDS), self._look, limit)
+        self._timer = loop.call_later(min(left, _CHECK_INTERVAL_SECONDS), self._check, limit)
--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -90,7 +90,7 @@
         self.connection = ""
         """`kept` or `new`, as the last send's was; empty where none came up."""
         self.runs = 0
-        self.cutter: EventFramer | None = None
+        self.framer: EventFramer | None = None
         """What cuts the answer of the last send into events, None for a plain request."""
         self.events_before = 0
         """Events that were handed on before the last send."""
@@ -100,26 +100,26 @@
     @property
     def broke_mid_event(self) -> bool:
         """Return whether bytes of an event that has not ended came of the last send."""
-        return self.cutter is not None and self.cutter.partial
+        return self.framer is not None and self.framer.partial
 
     def begin_event_stream(self, *, after: str) -> EventFramer:
         """Return what cuts the answer of the next send into events, behind the id `after`."""
-        if self.cutter is not None:
-            self.events_before += self.cutter.events
-            self.odd_before += self.cutter.odd
-        self.cutter = EventFramer(after=after)
-        return self.cutter
+        if self.framer is not None:
+            self.events_before += self.framer.events
+            self.odd_before += self.framer.odd
+        self.framer = EventFramer(after=after)
+        return self.framer
 
     def relay_progress(self) -> RelayProgress:
         """Return what has been handed on so far, nothing for a plain request."""
-        cutter = self.cutter
-        if cutter is None:
+        framer = self.framer
+        if framer is None:
             return {}
         return {
-            "events": self.events_before + cutter.events,
-            "odd": self.odd_before + cutter.odd,
-            "last": short_id(cutter.last),
-            "partial_bytes": cutter.partial_bytes,
+            "events": self.events_before + framer.events,
+            "odd": self.odd_before + framer.odd,
+            "last": short_id(framer.last),
+            "partial_bytes": framer.partial_bytes,
             "runs": self.runs,
         }
 
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -1,8 +1,7 @@
-"""Serve prompts: choose an engine and kept parts, and relay its events.
+"""Serve prompts: choose an engine and cached parts, and relay the engine's events.
 
-An answer's head goes out with its first event.  A run that breaks off is
-resumed behind the last whole event where its route allows that; else the
-caller's answer is cut too.
+The response head is sent with the first event.  If a run fails, it is resumed after the last
+complete event where the route allows that; otherwise the response to the caller is cut off.
 """
 
 from __future__ import annotations
@@ -27,48 +26,50 @@
 
 __all__ = ["Generation"]
 
-_AVOID_SECONDS = 0.3
-"""How long an engine that turned a request away is avoided, at least."""
-_MOST_AVOID_SECONDS = 2.0
-"""The same at most, where the engine asks for a longer pause: nodes that it has not turned
-away send to it again then."""
-_FIRST_EVENT_AIMS = 2.0
-"""Silence before the first event, in aims and estimates, after which a run is moved."""
-_PAUSE_AIMS = 3.0
-"""Silence between events, in the longest pause allowed, after which a run is moved."""
+_MIN_AVOID_SECONDS = 0.3
+"""Minimum time for which an engine that rejected a request is avoided."""
+_MAX_AVOID_SECONDS = 2.0
+"""Maximum of that time where the engine asks for a longer pause: nodes whose requests it did not
+reject use it again after this time."""
+_FIRST_EVENT_TIMEOUT_GOALS = 2.0
+"""Time without a first event, in latency goals, after which a run moves to another engine."""
+_GAP_TIMEOUT_GOALS = 3.0
+"""Time without a further event, in the route's gap goals, after which a run moves."""
 
 _log = structlog.get_logger()
 
 
-class _Ordered(NamedTuple):
-    """What an engine is to keep and to save of a send, by the ids of parts."""
+class _SendEffects(NamedTuple):
+    """The ids of the parts that an engine should keep in memory and save because of a send."""
 
-    send: int
+    send_number: int
     salt: str
     kept: list[str]
     saved: list[str]
 
 
 class _Run(NamedTuple):
+    """A run at one engine; `ended` is empty until the run has been counted as ended."""
+
     choice: EngineChoice
     exchange: Exchange
     head: ResponseHead
     first: bytes
-    cutter: EventFramer
-    began: float
+    framer: EventFramer
+    started_at: float
     ended: list[bool]
 
 
-def _streams(head: ResponseHead) -> bool:
-    """Return whether events follow `head`, not an answer that is none."""
+def _is_event_stream(head: ResponseHead) -> bool:
+    """Return whether `head` starts an event stream, not another kind of response."""
     return head.status == 200 and head.length is None
 
 
-def _callers_last_id(call: Call) -> str:
-    """Return the id of the last event that the caller has of an earlier answer, empty for none.
+def _callers_last_event_id(call: Call) -> str:
+    """Return the id of the last event that the caller received earlier, empty for none.
 
-    Without it, a caller that lacks only the end of an answer would be refused: the
-    empty rest looks like a run that broke off.
+    Without it, a caller that lacks only the end of the stream would be refused, since an empty
+    remainder looks like a failed run.
     """
     return call.parsed.resume_after if call.route.resumable else ""
 
@@ -79,123 +80,129 @@
     def __init__(self, *, context: ServingContext) -> None:
         self._context = context
         self._kept = PartTransferPlanner(views=context.views)
-        self._placing = Placement(context=context, kept=self._kept)
+        self._placement = Placement(context=context, kept=self._kept)
 
     async def serve(self, call: Call, responder: Responder) -> None:
-        """Answer `call`; raise `Refused`."""
+        """Respond to `call`; raise `Refused` if no engine can serve it."""
         attempts = Attempts(call=call, context=self._context)
-        run = await self._start(call, attempts, after="")
+        run = await self._start_run(call, attempts, after="")
         try:
             call.trace.status = run.head.status
             call.trace.first_event = asyncio.get_running_loop().time()
             headers = self._context.callers.answer_headers(run.head, call.parsed.request_id)
             responder.start(run.head.status, headers, run.head.length)
             responder.write(run.first)
-            if not _streams(run.head):
+            if not _is_event_stream(run.head):
                 await self._relay_plain(call, run, responder, attempts)
                 return
             while not await self._relay(call, run, responder, attempts):
-                self._ended(call, run)
-                run = await self._start(call, attempts, after=run.cutter.last)
+                self._end_run(call, run)
+                run = await self._start_run(call, attempts, after=run.framer.last)
                 responder.write(run.first)
             responder.end()
         finally:
-            self._ended(call, run)
+            self._end_run(call, run)
 
     # --- starting -------------------------------------------------------------
 
-    async def _start(self, call: Call, attempts: Attempts, *, after: str) -> _Run:
-        """Return a run whose first whole event has come; raise `Refused`.
+    async def _start_run(self, call: Call, attempts: Attempts, *, after: str) -> _Run:
+        """Return a run that has produced its first complete event; raise `Refused`.
 
-        `after` is the id of the last event that the caller got, empty before the first.
+        `after` is the id of the last event that the caller received, empty before the first.
         """
         while True:
-            choice = await self._placing.place(call, attempts, resumes=after != "")
+            choice = await self._placement.place(call, attempts, resumes=after != "")
             attempts.begin(choice.instance)
             try:
-                run = await self._try(call, choice, after=after, more=attempts.more())
+                run = await self._attempt(call, choice, after=after, may_retry=attempts.may_retry())
             except AttemptFailed as failure:
-                self._learn(call, choice, failure)
+                self._record_failure(call, choice, failure)
                 attempts.failed(failure)
             else:
-                self._note_run(call, run, after)
+                self._record_run(call, run, after)
                 return run
 
-    async def _try(self, call: Call, choice: EngineChoice, *, after: str, more: bool) -> _Run:
+    async def _attempt(
+        self, call: Call, choice: EngineChoice, *, after: str, may_retry: bool
+    ) -> _Run:
         context = self._context
-        send = self._send(call, choice, after)
-        cutter = call.trace.begin_event_stream(after=after or _callers_last_id(call))
+        outgoing = self._build_request(call, choice, after)
+        framer = call.trace.begin_event_stream(after=after or _callers_last_event_id(call))
         name = choice.instance.name
-        ordered = self._begin(call, choice, send)
-        began = asyncio.get_running_loop().time()
-        watch = self._watch(call, send)
+        effects = self._record_send(call, choice, outgoing)
+        started_at = asyncio.get_running_loop().time()
+        weights_timeout = self._stale_weights_timeout(call, outgoing)
         exchange: Exchange | None = None
         ok = False
         try:
-            async with asyncio.timeout(self._patience(call, choice) if more else None) as limit:
-                with watch.over(limit):
-                    exchange, head = await send_once(context, send, call)
-                    first = await self._first(exchange, head, cutter)
+            async with asyncio.timeout(
+                self._first_event_timeout(call, choice) if may_retry else None
+            ) as limit:
+                with weights_timeout.applied_to(limit):
+                    exchange, head = await send_once(context, outgoing, call)
+                    first = await self._read_first_events(exchange, head, framer)
             ok = True
         except TimeoutError:
-            reason = "outdated" if watch.expired else "silent"
+            reason = "outdated" if weights_timeout.expired else "silent"
             detail = f"target {name}: no event, {reason}"
             raise AttemptFailed(detail, reason=reason, reached=True, not_run=False) from None
         except ExchangeError as error:
             raise AttemptFailed(str(error), reason="cut", reached=True, not_run=False) from None
         except AttemptFailed as failure:
             if failure.not_run:
-                self._take_back(name, ordered)
+                self._undo_send(name, effects)
             raise
         finally:
             if not ok:
                 context.views.workload.end(name, call.trace.key)
                 if exchange is not None:
                     exchange.cancel()
-        no_rest = after != "" and not _streams(head)
-        if no_rest or (head.status >= 500 and more and call.route.repeatable):
+        resume_unusable = after != "" and not _is_event_stream(head)
+        if resume_unusable or (head.status >= 500 and may_retry and call.route.repeatable):
             context.views.workload.end(name, call.trace.key)
             exchange.cancel()
             detail = f"target {name}: status {head.status}"
             raise AttemptFailed(detail, reason="status", reached=True, not_run=False)
-        self._heard_first(call, choice, began)
+        self._record_first_event(call, choice, started_at)
         if head.status < 500:
             context.views.health.succeeded(name, asyncio.get_running_loop().time())
-        self._heard_weights(call, send, head)
-        return _Run(choice, exchange, head, first, cutter, began, [])
+        self._record_reported_weights(call, outgoing, head)
+        return _Run(choice, exchange, head, first, framer, started_at, [])
 
-    async def _first(self, exchange: Exchange, head: ResponseHead, cutter: EventFramer) -> bytes:
-        """Return the first whole events, or the first bytes of an answer that is none.
+    async def _read_first_events(
+        self, exchange: Exchange, head: ResponseHead, framer: EventFramer
+    ) -> bytes:
+        """Return the first complete events, or the first bytes of a response without events.
 
-        Nothing where a resumed run ends at once: every event had come before.
+        Return empty bytes if a resumed run ends at once, since all events were received before.
         """
-        if not _streams(head):
+        if not _is_event_stream(head):
             return await exchange.piece()
         while True:
             data = await exchange.piece()
-            if not data and cutter.last and not cutter.partial:
-                # What broke off had lost no event, only its end.
+            if not data and framer.last and not framer.partial:
+                # The failed run had sent all its events; only the end of the stream was lost.
                 return b""
             if not data:
                 raise ExchangeError("ended before its first event", sent=True, reason="cut")
-            if ready := cutter.feed(data):
+            if ready := framer.feed(data):
                 return ready
 
-    def _watch(self, call: Call, send: OutgoingRequest) -> StaleWeightsTimeout:
+    def _stale_weights_timeout(self, call: Call, outgoing: OutgoingRequest) -> StaleWeightsTimeout:
         prompt = call.parsed.prompt
-        assert prompt is not None and send.weights is not None
+        assert prompt is not None and outgoing.weights is not None
         return StaleWeightsTimeout(
             views=self._context.views,
             model=prompt.model,
-            weights=send.weights,
+            weights=outgoing.weights,
             bound=self._context.settings.bounds.weights,
         )
 
-    def _patience(self, call: Call, choice: EngineChoice) -> float | None:
+    def _first_event_timeout(self, call: Call, choice: EngineChoice) -> float | None:
         if not call.route.repeatable:
             return None
         return max(
-            _FIRST_EVENT_AIMS * call.route.latency_goal,
+            _FIRST_EVENT_TIMEOUT_GOALS * call.route.latency_goal,
             FIRST_EVENT_TIMEOUT_ESTIMATES * choice.seconds,
         )
 
@@ -204,33 +211,33 @@
     async def _relay_plain(
         self, call: Call, run: _Run, responder: Responder, attempts: Attempts
     ) -> None:
-        """Pass an answer on that is no stream; raise `Refused` where it breaks off."""
+        """Relay a response without events; raise `Refused` if it is cut off."""
         try:
             while data := await run.exchange.piece():
                 responder.write(data)
                 await responder.drained()
         except ExchangeError as error:
             failure = AttemptFailed(str(error), reason="cut", reached=True, not_run=False)
-            self._learn(call, run.choice, failure)
+            self._record_failure(call, run.choice, failure)
             attempts.failed(failure)
-            # A part of it went out: no other answer may follow.
+            # Part of the response was sent, so it cannot be replaced by another one.
             raise attempts.exhausted(str(failure)) from None
         responder.end()
 
     async def _relay(self, call: Call, run: _Run, responder: Responder, attempts: Attempts) -> bool:
-        """Pass events on; True at the end, False to resume elsewhere."""
-        cutter = run.cutter
-        movable = call.route.resumable and attempts.more() and cutter.last != ""
+        """Relay events; return True at the end of the stream, False to resume elsewhere."""
+        framer = run.framer
+        can_resume = call.route.resumable and attempts.may_retry() and framer.last != ""
         try:
             while True:
-                async with asyncio.timeout(self._pause(call) if movable else None):
+                async with asyncio.timeout(self._gap_timeout(call) if can_resume else None):
                     data = await run.exchange.piece()
                 if not data:
                     break
-                if ready := cutter.feed(data):
+                if ready := framer.feed(data):
                     responder.write(ready)
                     await responder.drained()
-            if not cutter.partial:
+            if not framer.partial:
                 return True
             failure = AttemptFailed(
                 "ended inside an event", reason="cut", reached=True, not_run=False
@@ -239,18 +246,21 @@
             failure = AttemptFailed(str(error), reason="cut", reached=True, not_run=False)
         except TimeoutError:
             failure = AttemptFailed("silent", reason="silent", reached=True, not_run=False)
-        self._learn(call, run.choice, failure)
+        self._record_failure(call, run.choice, failure)
         run.exchange.cancel()
         attempts.failed(failure)
-        if not cutter.resumable:
-            # A run behind the last id, or one that begins anew, would repeat what the caller got.
-            raise attempts.exhausted("events without an id, no run can go on behind them")
+        if not framer.resumable:
+            # Resuming after the last id, or from the start, would repeat events to the caller.
+            raise attempts.exhausted("events without an id cannot be resumed")
         return False
 
-    def _pause(self, call: Call) -> float:
-        return max(_FIRST_EVENT_AIMS * call.route.latency_goal, _PAUSE_AIMS * call.route.gap_goal)
+    def _gap_timeout(self, call: Call) -> float:
+        return max(
+            _FIRST_EVENT_TIMEOUT_GOALS * call.route.latency_goal,
+            _GAP_TIMEOUT_GOALS * call.route.gap_goal,
+        )
 
-    def _ended(self, call: Call, run: _Run) -> None:
+    def _end_run(self, call: Call, run: _Run) -> None:
         run.exchange.cancel()
         views = self._context.views
         views.workload.end(run.choice.instance.name, call.trace.key)
@@ -258,23 +268,25 @@
         assert call.parsed.prompt is not None
         if not run.ended:
             run.ended.append(True)
-            self._context.metrics.odd_events.inc(run.cutter.odd)
+            self._context.metrics.odd_events.inc(run.framer.odd)
             views.service_queues.of(call.service.name).turnover.ended(
-                call.parsed.prompt.tokens, now - run.began
+                call.parsed.prompt.tokens, now - run.started_at
             )
         views.service_queues.wake_all()
         self._context.on_load_change()
 
     # --- sending ---------------------------------------------------------------
 
-    def _send(self, call: Call, choice: EngineChoice, resume_after: str) -> OutgoingRequest:
+    def _build_request(
+        self, call: Call, choice: EngineChoice, resume_after: str
+    ) -> OutgoingRequest:
         prompt = call.parsed.prompt
         assert prompt is not None
         views = self._context.views
         now = asyncio.get_running_loop().time()
         salt = self._kept.salt(call, prompt, choice.instance.name)
         weights = views.weights_of(choice.instance.name, prompt.model)
-        self._note_weights(call, prompt.model, weights, now)
+        self._record_weights(call, prompt.model, weights, now)
         call.trace.estimate = choice.seconds
         call.trace.ahead = choice.burden
         return OutgoingRequest(
@@ -289,8 +301,8 @@
             urgency=self._urgency(call),
         )
 
-    def _note_weights(self, call: Call, model: str, weights: int | None, now: float) -> None:
-        """Note for the log on which weights a send runs, and how outdated they are."""
+    def _record_weights(self, call: Call, model: str, weights: int | None, now: float) -> None:
+        """Record in the trace the weights of a send, and for how long they have been outdated."""
         trace = call.trace
         naming = None if weights is None else self._context.views.outdating(model, weights)
         trace.weights = weights
@@ -299,11 +311,11 @@
         if naming is not None:
             self._context.metrics.outdated_sends.inc()
 
-    def _note_run(self, call: Call, run: _Run, after: str) -> None:
-        """Note a run that gives something; log it where another that may have run came before."""
+    def _record_run(self, call: Call, run: _Run, after: str) -> None:
+        """Count a run that produced output; log it if an earlier send may have run as well."""
         trace = call.trace
         trace.runs += 1
-        # This run is one of those that may have run.
+        # `unproved` includes this run.
         if trace.unproved < 2:
             return
         _log.info(
@@ -313,35 +325,37 @@
             connection=trace.connection,
             weights=trace.weights,
             after=short_id(after or call.parsed.resume_after),
-            first=short_id(first_event_id(run.first)) if _streams(run.head) else "",
+            first=short_id(first_event_id(run.first)) if _is_event_stream(run.head) else "",
             events_before=trace.events_before,
             runs=trace.runs,
         )
 
     def _urgency(self, call: Call) -> int:
-        """Return how urgent engines should take the prompt.
+        """Return the priority of the prompt at the engines.
 
-        Just after a start those who come back are many and gone in a moment, and
-        late anyway.  In an overload that lasts, coming last would mean never.
+        Late prompts get a lower priority only shortly after a start, when many callers return at
+        once for a short time and are late anyway.  In a lasting overload they would never run.
         """
         now = asyncio.get_running_loop().time()
         late = call.late and self._context.views.just_started(now)
         return urgency(call.rank, late=late, ranks=call.catalog.priorities)
 
-    # --- counting -------------------------------------------------------------
+    # --- accounting -----------------------------------------------------------
 
-    def _begin(self, call: Call, choice: EngineChoice, send: OutgoingRequest) -> _Ordered:
-        """Count the run, and the moves that it causes; return what the engine is to keep."""
+    def _record_send(
+        self, call: Call, choice: EngineChoice, outgoing: OutgoingRequest
+    ) -> _SendEffects:
+        """Count the run and its transfers; return what the engine should keep and save."""
         prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
         views = self._context.views
         engine = choice.instance
         now = asyncio.get_running_loop().time()
         views.workload.begin(engine.name, call.trace.key, choice.fetch_plan.unread, prompt.tokens)
-        held = views.memory.parts(engine.name, send.salt)
+        held = views.memory.parts(engine.name, outgoing.salt)
         tokens = self._context.metrics.tokens
         for part, source, save in zip(
-            prompt.parts, send.fetch.sources, send.fetch.saves, strict=True
+            prompt.parts, outgoing.fetch.sources, outgoing.fetch.saves, strict=True
         ):
             way = "fetch" if source else "save" if save else "read"
             tokens.inc(part.tokens, label_value=way)
@@ -352,30 +366,30 @@
                 part.tokens, view.traits, traits=traits, data_centre=engine.data_centre
             )
             views.links.add(view.traits.address, seconds, now)
-        number = views.memory.sent(engine.name, send.salt, prompt.shared, traits.memory)
+        number = views.memory.sent(engine.name, outgoing.salt, prompt.shared, traits.memory)
         self._context.on_load_change()
         kept = [part.id for part in prompt.shared if part.id not in held]
-        saves = zip(prompt.parts, send.fetch.saves, strict=True)
-        return _Ordered(number, send.salt, kept, [part.id for part, save in saves if save])
+        saves = zip(prompt.parts, outgoing.fetch.saves, strict=True)
+        return _SendEffects(number, outgoing.salt, kept, [part.id for part, save in saves if save])
 
-    def _take_back(self, engine: str, ordered: _Ordered) -> None:
-        """Forget what an engine that turned a prompt away was to keep and to save.
+    def _undo_send(self, engine: str, effects: _SendEffects) -> None:
+        """Undo the effects of a send to an engine that rejected the prompt.
 
-        Otherwise the parts would count as being saved for some seconds, and the engine
-        that reads them next would save none of them.
+        Otherwise the parts would count as being saved for some seconds, and the next engine that
+        computes them would not save them.
         """
         views = self._context.views
-        views.memory.undo_send(engine, ordered.salt, ordered.kept, send=ordered.send)
-        for part in ordered.saved:
-            views.store_index.cancel_save(ordered.salt, part)
+        views.memory.undo_send(engine, effects.salt, effects.kept, send=effects.send_number)
+        for part in effects.saved:
+            views.store_index.cancel_save(effects.salt, part)
 
-    def _heard_first(self, call: Call, choice: EngineChoice, began: float) -> None:
-        """Learn from the time that the first event took."""
+    def _record_first_event(self, call: Call, choice: EngineChoice, started_at: float) -> None:
+        """Update the estimates with the time to the first event."""
         views = self._context.views
         now = asyncio.get_running_loop().time()
         views.workload.read(choice.instance.name, call.trace.key)
         self._context.on_load_change()
-        taken = now - began
+        taken = now - started_at
         views.pace.observe(
             call.service.name,
             choice.instance.name,
@@ -387,29 +401,31 @@
         for store in {s.address for s in choice.fetch_plan.sources if s is not None}:
             views.lateness.observe(store, late, now)
 
-    # --- learning -------------------------------------------------------------
+    # --- updating views -------------------------------------------------------
 
-    def _learn(self, call: Call, choice: EngineChoice, failure: AttemptFailed) -> None:
+    def _record_failure(self, call: Call, choice: EngineChoice, failure: AttemptFailed) -> None:
         views = self._context.views
         name = choice.instance.name
         now = asyncio.get_running_loop().time()
         if failure.reason == "replaced":
-            # Another instance has the address: this one is gone for good.
+            # Another instance uses the address, so this one has ended.
             views.registry.left(name)
             return
         if failure.reason == "outdated":
-            # It was this node that gave up.
+            # This node cancelled the send; the engine did not fail.
             return
         if failure.reason in ("not-started", "other-weights"):
-            # Nodes nearby are told, so that they send elsewhere before they are turned away too.
-            pause = min(views.pauses.left(name, now), _MOST_AVOID_SECONDS)
-            views.loading.record_own(name, now + max(pause, _AVOID_SECONDS))
+            # Shared with nearby nodes, so that they avoid the engine before it rejects them too.
+            pause = min(views.pauses.left(name, now), _MAX_AVOID_SECONDS)
+            views.loading.record_own(name, now + max(pause, _MIN_AVOID_SECONDS))
             return
         views.health.failed(name, now)
 
-    def _heard_weights(self, call: Call, send: OutgoingRequest, head: ResponseHead) -> None:
-        response_info = self._context.targets.response_info(send, head)
+    def _record_reported_weights(
+        self, call: Call, outgoing: OutgoingRequest, head: ResponseHead
+    ) -> None:
+        info = self._context.targets.response_info(outgoing, head)
         prompt = call.parsed.prompt
-        if response_info.weights is None or prompt is None:
+        if info.weights is None or prompt is None:
             return
-        self._context.views.saw_weights(send.instance.name, prompt.model, response_info.weights)
+        self._context.views.saw_weights(outgoing.instance.name, prompt.model, info.weights)
--- a/packages/node/src/fielddrift_node/serving/plain.py
+++ b/packages/node/src/fielddrift_node/serving/plain.py
@@ -36,7 +36,7 @@
                 raise attempts.exhausted()
             attempts.begin(instance)
             try:
-                head, body = await self._try(call, instance, more=attempts.more())
+                head, body = await self._try(call, instance, may_retry=attempts.may_retry())
             except AttemptFailed as failure:
                 attempts.failed(failure)
                 continue
@@ -63,17 +63,17 @@
         )
 
     async def _try(
-        self, call: Call, instance: Instance, *, more: bool
+        self, call: Call, instance: Instance, *, may_retry: bool
     ) -> tuple[ResponseHead, bytes]:
         views = self._context.views
         loop = asyncio.get_running_loop()
-        send = OutgoingRequest(
+        outgoing = OutgoingRequest(
             call.parsed, instance, call.deadline - loop.time(), call.customer_name
         )
         views.workload.begin(instance.name, call.trace.key, 0)
         try:
-            async with asyncio.timeout(self._patience(call) if more else None):
-                head, body = await self._exchange(call, send)
+            async with asyncio.timeout(self._patience(call) if may_retry else None):
+                head, body = await self._exchange(call, outgoing)
         except TimeoutError:
             views.health.failed(instance.name, loop.time())
             raise AttemptFailed(
@@ -88,18 +88,18 @@
             views.workload.end(instance.name, call.trace.key)
         if head.status >= 500:
             views.health.failed(instance.name, loop.time())
-            if more and call.route.repeatable:
+            if may_retry and call.route.repeatable:
                 detail = f"target {instance.name}: status {head.status}"
                 raise AttemptFailed(detail, reason="status", reached=True, not_run=False)
         else:
             views.health.succeeded(instance.name, loop.time())
         return head, body
 
-    async def _exchange(self, call: Call, send: OutgoingRequest) -> tuple[ResponseHead, bytes]:
-        exchange, head = await send_once(self._context, send, call)
-        return head, await self._body(send, exchange)
+    async def _exchange(self, call: Call, outgoing: OutgoingRequest) -> tuple[ResponseHead, bytes]:
+        exchange, head = await send_once(self._context, outgoing, call)
+        return head, await self._body(outgoing, exchange)
 
-    async def _body(self, send: OutgoingRequest, exchange: Exchange) -> bytes:
+    async def _body(self, outgoing: OutgoingRequest, exchange: Exchange) -> bytes:
         try:
             return await exchange.body()
         except ExchangeError as error:
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -140,7 +140,7 @@
             self._refusal(detail, self._context.gate.shortest_wait(serving, now) or None)
         )
 
-    def more(self) -> bool:
+    def may_retry(self) -> bool:
         """Return whether the route allows another sending."""
         return self._reached + 1 < self._call.route.attempts
 
@@ -150,21 +150,21 @@
 
 
 async def send_once(
-    context: ServingContext, send: OutgoingRequest, call: Call
+    context: ServingContext, outgoing: OutgoingRequest, call: Call
 ) -> tuple[Exchange, ResponseHead]:
     """Send, and return the exchange once its head is here; raise `AttemptFailed`.
 
     An answer that proves that nothing ran is a failure here.
     """
-    address = send.instance.address
-    data = context.targets.request(send)
+    address = outgoing.instance.address
+    data = context.targets.request(outgoing)
     exchange: Exchange | None = None
     try:
         exchange = await context.client.begin(
             address,
             data,
             connect_seconds=CONNECT_TIMEOUT_SECONDS,
-            accepts=lambda head: context.targets.answers(send, head),
+            accepts=lambda head: context.targets.answers(outgoing, head),
             most_open=_most_open(call, context),
             most_idle=None if call.route.repeatable else _UNSAFE_MOST_IDLE,
         )
@@ -187,24 +187,24 @@
             exchange.cancel()
         raise
     call.trace.framed = head.framed
-    response_info = context.targets.response_info(send, head)
-    served = not response_info.not_started and head.status < _FAILED
+    info = context.targets.response_info(outgoing, head)
+    served = not info.not_started and head.status < _FAILED
     context.notices.heard(
-        send.instance, response_info.notice, served_at=call.trace.sent_at if served else None
+        outgoing.instance, info.notice, served_at=call.trace.sent_at if served else None
     )
-    if not response_info.not_started:
+    if not info.not_started:
         return exchange, head
     call.trace.unproved -= 1
     await _drain(exchange)
-    reason = _not_run_reason(response_info, send)
-    detail = f"target {send.instance.name}: status {head.status}, not run"
+    reason = _not_run_reason(info, outgoing)
+    detail = f"target {outgoing.instance.name}: status {head.status}, not run"
     raise AttemptFailed(detail, reason=reason, reached=True, not_run=True)
 
 
-def _not_run_reason(response_info: ResponseInfo, send: OutgoingRequest) -> str:
-    if not response_info.misdirected:
+def _not_run_reason(info: ResponseInfo, outgoing: OutgoingRequest) -> str:
+    if not info.misdirected:
         return "not-started"
-    if response_info.instance and response_info.instance != send.instance.target:
+    if info.instance and info.instance != outgoing.instance.target:
         return "replaced"
     return "other-weights"
 
