--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -144,7 +144,7 @@
         return self.waited_seconds >= self.route.latency_goal
 
     @property
-    def rank(self) -> int:
+    def priority(self) -> int:
         """Return how urgent the request is, 0 first: the customer's rank before the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -1,8 +1,8 @@
-"""Choose the engine of a prompt, and let prompts wait until one has room.
+"""Choose an engine for each prompt, and queue prompts until an engine has memory for them.
 
-No engine is knowingly sent more than its memory holds.  What finds no room
-waits here, where it costs an engine nothing, unless the estimate says that it
-cannot be in time: then its caller is told at once when to come back.
+An engine is not sent more than its memory is known to hold.  Other prompts wait at this node,
+where they use no resources of an engine.  A prompt whose estimate is too late is refused at
+once, with a time after which the caller may retry.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 __all__ = ["FIRST_EVENT_TIMEOUT_ESTIMATES", "Placement"]
 
 FIRST_EVENT_TIMEOUT_ESTIMATES = 4.0
-"""Silence before the first event, in estimates, after which a run is moved."""
-_OLDEST_PART = 0.7
-"""Part of the time within which requests may begin on older weights in which they are
-sent: the rest, of some 3 s, lets nearly all begin that wait at a crowded engine (2.4 s
-at most so far), and `StaleWeightsTimeout` calls off who waits longer."""
-_LEAST_WAIT_PART = 0.25
-"""Part of the aim for which a prompt may wait even if it will then be late: engines that
-are slow serve everyone late, and still serve."""
-_LOOK_SECONDS = 0.05
-"""Whoever is first in line looks for room so often, whatever was heard meanwhile: what
-other nodes told fades without a sign."""
-_RESUME_RANK = -1
-"""Runs that broke off come before all others: their callers are reading already."""
+"""Time without a first event, in estimates of it, after which a run moves to another engine."""
+_MAX_OUTDATED_FRACTION = 0.7
+"""Fraction of the time for starting on outdated weights within which requests are sent.  The
+rest, about 3 s, suffices for nearly all that wait at a congested engine (at most 2.4 s seen);
+`StaleWeightsTimeout` cancels those that wait longer."""
+_MIN_WAIT_FRACTION = 0.25
+"""Fraction of the latency goal for which a prompt may wait even if it will then be late: slow
+engines serve all prompts late, but still serve them."""
+_CHECK_INTERVAL_SECONDS = 0.05
+"""Interval at which the first prompt in the queue looks for an engine, also without updates: the
+loads that other nodes reported expire without an event."""
+_RESUME_PRIORITY = -1
+"""Runs to resume come before all other prompts: their callers are already reading a response."""
 
 
 class _Candidate(NamedTuple):
@@ -59,204 +59,217 @@
         return self.instance.data_centre
 
 
-class _Wanted(NamedTuple):
-    """Which engines are weighed: with `part` those with room for the prompt in that part of
-    their memory, with `sends` those that this node may send to now."""
+class _EngineFilter(NamedTuple):
+    """Which engines are candidates: with `memory_fraction` those with room for the prompt in
+    that fraction of their memory, with `sends` those that this node may send to now."""
 
-    part: float | None
+    memory_fraction: float | None
     sends: bool
 
 
 class Placement:
-    """Choose engines for prompts."""
+    """Chooses engines for prompts."""
 
     def __init__(self, *, context: ServingContext, kept: PartTransferPlanner) -> None:
         self._context = context
         self._kept = kept
 
     async def place(self, call: Call, attempts: Attempts, *, resumes: bool) -> EngineChoice:
-        """Return the engine to send to now; raise `Refused`."""
-        room = self._context.views.service_queues.of(call.service.name)
-        rank = _RESUME_RANK if resumes else call.rank
-        if room.queue.count_ahead(rank) == 0:
-            fitting = self._fitting(call, attempts.tried)
-            if fitting is not None:
+        """Return the engine to send to, once it has room; raise `Refused` if none is in time."""
+        service_queue = self._context.views.service_queues.of(call.service.name)
+        priority = _RESUME_PRIORITY if resumes else call.priority
+        if service_queue.queue.count_ahead(priority) == 0:
+            choice = self._choose_with_room(call, attempts.tried)
+            if choice is not None:
                 if not attempts.tried:
-                    self._admit(call, fitting, 0.0)
-                return fitting
-        # A choice weighs every engine: the second is made only where there is no room.
+                    self._admit(call, choice, 0.0)
+                return choice
+        # A choice evaluates every engine, so the second one is made only if none has room.
         best = self._choose(call, attempts.tried)
         if best is None:
             raise attempts.exhausted()
         if not attempts.tried:
-            self._admit(call, best, max(self._wait(call, room), self._closed(call)))
-        return await self._in_line(call, attempts, best, room, rank)
+            self._admit(
+                call, best, max(self._queue_wait(call, service_queue), self._send_wait(call))
+            )
+        return await self._wait_in_queue(call, attempts, best, service_queue, priority)
 
     # --- waiting ----------------------------------------------------------------
 
-    def _wait(self, call: Call, room: ServiceQueue) -> float:
-        """Return the seconds until there is room behind all that wait for it anywhere."""
+    def _queue_wait(self, call: Call, service_queue: ServiceQueue) -> float:
+        """Return the seconds until there is room after all prompts that wait at any node."""
         prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
         views = self._context.views
         now = asyncio.get_running_loop().time()
         names = [
-            queue_name(call.service.name, r) for r in call.catalog.priorities if r <= call.rank
+            queue_name(call.service.name, r) for r in call.catalog.priorities if r <= call.priority
         ]
         ahead = sum(views.workload.burden_of(name, now).memory for name in names)
         engines = len(views.registry.serving(call.service.name))
-        return room.turnover.wait(ahead + prompt.tokens, engines * traits.memory)
+        return service_queue.turnover.wait(ahead + prompt.tokens, engines * traits.memory)
 
-    def _closed(self, call: Call) -> float:
-        """Return the seconds until this node may send to some engine; raise `Refused` for never.
+    def _send_wait(self, call: Call) -> float:
+        """Return the seconds until this node may send to some engine; raise `Refused` if never.
 
-        Engines that want nothing of this node have no room for it, however empty they are.
+        Engines that accept no requests from this node have no room for it, whatever their load.
         """
         now = asyncio.get_running_loop().time()
         serving = self._context.views.registry.serving(call.service.name)
-        closed = self._context.gate.shortest_wait(serving, now)
-        if closed is None:
-            back = retry_delay(time_left=call.deadline - now, rng=self._context.rng)
-            detail = "no engine takes requests of this node"
-            raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "closed"))
-        return closed
+        send_wait = self._context.gate.shortest_wait(serving, now)
+        if send_wait is None:
+            retry_after = retry_delay(time_left=call.deadline - now, rng=self._context.rng)
+            detail = "no engine accepts requests from this node"
+            raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, retry_after, "closed"))
+        return send_wait
 
     def _admit(self, call: Call, choice: EngineChoice, wait: float) -> None:
-        """Raise `Refused` where even the best engine would answer too late.
+        """Raise `Refused` if even the best engine would respond too late because of load.
 
-        A prompt that takes long by itself is late at any time, and is taken all the same.
+        A prompt that takes long by itself is late at any load, and is accepted.
         """
         queue = wait + choice.prefill_seconds(choice.burden.unread)
-        back = refusal_delay(
+        retry_after = refusal_delay(
             time_left=call.parsed.timeout_seconds or call.deadline - call.arrived_at,
             estimate=wait + choice.seconds,
             latency_goal=call.route.latency_goal,
             congested=is_congested(queue_seconds=queue, latency_goal=call.route.latency_goal),
             rng=self._context.rng,
         )
-        if back is None:
+        if retry_after is None:
             return
         detail = f"room in {wait:.2f} s, first event {choice.seconds:.2f} s later"
-        detail += f", {call.route.latency_goal:.2f} s is in time"
-        raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back))
+        detail += f", latency goal {call.route.latency_goal:.2f} s"
+        raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, retry_after))
 
-    async def _in_line(
-        self, call: Call, attempts: Attempts, best: EngineChoice, room: ServiceQueue, rank: int
+    async def _wait_in_queue(
+        self,
+        call: Call,
+        attempts: Attempts,
+        best: EngineChoice,
+        service_queue: ServiceQueue,
+        priority: int,
     ) -> EngineChoice:
-        """Return an engine once one has room; raise `Refused` when that comes too late."""
+        """Return an engine once one has room; raise `Refused` if that would be too late."""
         loop = asyncio.get_running_loop()
         prompt = call.parsed.prompt
         assert prompt is not None
-        aim, began = call.route.latency_goal, loop.time()
-        due = max(
-            call.arrived_at + LATE_FRACTION * aim - best.seconds, began + _LEAST_WAIT_PART * aim
+        latency_goal, queued_at = call.route.latency_goal, loop.time()
+        deadline = max(
+            call.arrived_at + LATE_FRACTION * latency_goal - best.seconds,
+            queued_at + _MIN_WAIT_FRACTION * latency_goal,
         )
-        waiter = WaitingPrompt(call.trace.key, rank, due, prompt.tokens)
-        workload, name = self._context.views.workload, queue_name(call.service.name, rank)
-        room.queue.add(waiter)
-        workload.begin(name, waiter.request, 0, prompt.tokens)
+        waiting = WaitingPrompt(call.trace.key, priority, deadline, prompt.tokens)
+        workload, name = self._context.views.workload, queue_name(call.service.name, priority)
+        service_queue.queue.add(waiting)
+        workload.begin(name, waiting.request, 0, prompt.tokens)
         self._context.on_load_change()
         try:
-            while (left := due - loop.time()) > 0:
-                await room.wait_turn(waiter, min(left, _LOOK_SECONDS))
-                if room.queue.head() is not waiter:
+            while (left := deadline - loop.time()) > 0:
+                await service_queue.wait_turn(waiting, min(left, _CHECK_INTERVAL_SECONDS))
+                if service_queue.queue.head() is not waiting:
                     continue
-                fitting = self._fitting(call, attempts.tried)
-                if fitting is not None:
-                    return fitting
+                choice = self._choose_with_room(call, attempts.tried)
+                if choice is not None:
+                    return choice
         finally:
-            call.trace.held += loop.time() - began
-            room.queue.remove(waiter)
-            workload.end(name, waiter.request)
-            room.wake_first()
-        return self._waited_in_vain(call, attempts, loop.time() - began)
-
-    def _waited_in_vain(self, call: Call, attempts: Attempts, seconds: float) -> EngineChoice:
-        """Return an engine for a run that broke off; raise `Refused` for others."""
+            call.trace.held += loop.time() - queued_at
+            service_queue.queue.remove(waiting)
+            workload.end(name, waiting.request)
+            service_queue.wake_first()
+        return self._wait_expired(call, attempts, loop.time() - queued_at)
+
+    def _wait_expired(self, call: Call, attempts: Attempts, seconds: float) -> EngineChoice:
+        """Return the best engine for a run to resume; raise `Refused` for other prompts."""
         if attempts.tried:
             best = self._choose(call, attempts.tried, sends=True)
             if best is None:
                 raise attempts.exhausted()
             return best
-        patience = call.deadline - asyncio.get_running_loop().time()
-        back = retry_delay(time_left=patience, rng=self._context.rng)
+        time_left = call.deadline - asyncio.get_running_loop().time()
+        retry_after = retry_delay(time_left=time_left, rng=self._context.rng)
         detail = f"no engine had room for {seconds:.2f} s"
-        raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, back, "no-room"))
+        raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, retry_after, "no-room"))
 
     # --- choosing ---------------------------------------------------------------
 
-    def _fitting(self, call: Call, tried: set[str]) -> EngineChoice | None:
-        """Return the best engine that works and has room, None when there is none."""
+    def _choose_with_room(self, call: Call, tried: set[str]) -> EngineChoice | None:
+        """Return the best healthy engine that has room, None if there is none."""
         turnover = self._context.views.service_queues.of(call.service.name).turnover
-        part = turnover.send_limit(call.rank, call.catalog.priorities)
-        return self._choose(call, tried, part=part, sends=True)
+        memory_fraction = turnover.send_limit(call.priority, call.catalog.priorities)
+        return self._choose(call, tried, memory_fraction=memory_fraction, sends=True)
 
     def _choose(
-        self, call: Call, tried: set[str], *, part: float | None = None, sends: bool = False
+        self,
+        call: Call,
+        tried: set[str],
+        *,
+        memory_fraction: float | None = None,
+        sends: bool = False,
     ) -> EngineChoice | None:
-        """Return the best engine; with `sends` only of those that may be sent to now."""
+        """Return the best engine; with `sends` only one that this node may send to now."""
         prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
         now = asyncio.get_running_loop().time()
         lookup = self._kept.lookup(call, prompt, now)
         return choose_engine(
             prompt,
-            self._sights(call, tried, lookup, _Wanted(part, sends), now),
+            self._engine_states(call, tried, lookup, _EngineFilter(memory_fraction, sends), now),
             traits=traits,
             data_centre=self._context.settings.data_centre,
             latency_goal=call.route.latency_goal,
             holders=lookup.holders,
-            memory_fraction=part,
+            memory_fraction=memory_fraction,
         )
 
-    def _sights(
-        self, call: Call, tried: set[str], lookup: StoredPartLookup, wanted: _Wanted, now: float
+    def _engine_states(
+        self, call: Call, tried: set[str], lookup: StoredPartLookup, wanted: _EngineFilter, now: float
     ) -> list[EngineState]:
-        """Return what is known of the engines that are weighed for a prompt."""
+        """Return the states of the candidate engines for a prompt."""
         prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
         views = self._context.views
         placeable = views.placeable(call.service.name, prompt.model, now)
-        oldest = self._context.settings.bounds.weights * _OLDEST_PART
+        max_outdated = self._context.settings.bounds.weights * _MAX_OUTDATED_FRACTION
         candidates = [
             _Candidate(engine, instance, views.workload.burden_of(engine.name, now))
             for engine in placeable.engines
-            if engine.name not in tried and engine.outdated <= oldest
+            if engine.name not in tried and engine.outdated <= max_outdated
             if (instance := views.registry.get(engine.name)) is not None
             if not wanted.sends or self._context.gate.allows(call.service, instance, now)
         ]
-        part = wanted.part
-        if part is not None:
-            working = self._working(candidates, now)
-            candidates = [c for c in working if has_room(c.burden, prompt, traits, part)]
-            if call.rank > min(call.catalog.priorities, default=call.rank):
-                # What waits here leaves the reading of engines to more urgent prompts.
-                candidates = [c for c in candidates if self._reads_soon(call, c)]
+        memory_fraction = wanted.memory_fraction
+        if memory_fraction is not None:
+            healthy = self._healthy(candidates, now)
+            candidates = [c for c in healthy if has_room(c.burden, prompt, traits, memory_fraction)]
+            if call.priority > min(call.catalog.priorities, default=call.priority):
+                # Prompts of lower priority leave prefill capacity to more urgent prompts.
+                candidates = [c for c in candidates if self._can_prefill_soon(call, c)]
         elif len(candidates) > MAX_CANDIDATES:
-            candidates = self._working(candidates, now)
-        weighed = sample(
+            candidates = self._healthy(candidates, now)
+        sampled = sample(
             candidates,
             data_centre=self._context.settings.data_centre,
             rng=self._context.rng,
         )
-        return [self._sight(call, c, lookup, placeable.soon, now) for c in weighed]
+        return [self._engine_state(call, c, lookup, placeable.soon, now) for c in sampled]
 
-    def _reads_soon(self, call: Call, candidate: _Candidate) -> bool:
-        pace = self._context.views.pace.factor(call.service.name, candidate.engine.name)
-        return can_prefill_soon(candidate.burden, pace)
+    def _can_prefill_soon(self, call: Call, candidate: _Candidate) -> bool:
+        slowdown = self._context.views.pace.factor(call.service.name, candidate.engine.name)
+        return can_prefill_soon(candidate.burden, slowdown)
 
-    def _working(self, candidates: list[_Candidate], now: float) -> list[_Candidate]:
-        """Return the engines that work; all of them where none does."""
+    def _healthy(self, candidates: list[_Candidate], now: float) -> list[_Candidate]:
+        """Return the healthy candidates, or all candidates if none is healthy."""
         health = self._context.views.health
-        working = [
+        healthy = [
             candidate
             for candidate in candidates
             if not candidate.engine.loading
             and health.share(candidate.instance.name, now) < FAILING_RATE
         ]
-        return working or candidates
+        return healthy or candidates
 
-    def _sight(
+    def _engine_state(
         self,
         call: Call,
         candidate: _Candidate,
@@ -268,8 +281,8 @@
         prompt = call.parsed.prompt
         assert prompt is not None
         engine, instance = candidate.engine, candidate.instance
-        # A send of what may run once only cannot be made up for when it is called off.
-        spare = 1.0 if call.route.repeatable else FIRST_EVENT_TIMEOUT_ESTIMATES
+        # A request that may run only once cannot be sent again after its send is cancelled.
+        margin = 1.0 if call.route.repeatable else FIRST_EVENT_TIMEOUT_ESTIMATES
         left = seconds_to_begin(engine.outdated, max_outdated=self._context.settings.bounds.weights)
         return EngineState(
             instance=instance,
@@ -279,7 +292,7 @@
             loading=engine.loading,
             memory=views.memory.parts(instance.name, lookup.salt(engine.weights)),
             loads_next=instance.name in soon,
-            left=left / spare,
+            left=left / margin,
             weights=engine.weights,
             slowdown=views.pace.factor(call.service.name, instance.name),
         )
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -75,7 +75,7 @@
                 context.views.health.failed(engine.name, now)
             else:
                 context.views.workload.begin(engine.name, "run", 0, 40_000)
-        self.assertIsNone(placing._fitting(call, set()))
+        self.assertIsNone(placing._choose_with_room(call, set()))
 
 
 class TestSample(unittest.TestCase):
