--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -223,7 +223,12 @@
         )
 
     def _engine_states(
-        self, call: Call, tried: set[str], lookup: StoredPartLookup, wanted: _EngineFilter, now: float
+        self,
+        call: Call,
+        tried: set[str],
+        lookup: StoredPartLookup,
+        wanted: _EngineFilter,
+        now: float,
     ) -> list[EngineState]:
         """Return the states of the candidate engines for a prompt."""
         prompt, traits = call.parsed.prompt, call.service.engine
