--- a/packages/node/src/fielddrift_node/serving/directory.py
+++ b/packages/node/src/fielddrift_node/serving/directory.py
@@ -1,4 +1,4 @@
-"""Tell callers which addresses to use, and the platform whether this node is ready."""
+"""Serve the entry addresses to callers, and this node's readiness to the platform."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class EntryAsk(NamedTuple):
-    """A caller's question for addresses: from which data centre it comes."""
+    """A caller's request for addresses; `data_centre` is the one it comes from."""
 
     data_centre: str
 
 
 class EntryDialect(Protocol):
-    """How callers ask for addresses."""
+    """Format of the callers' requests for addresses and of the answers."""
 
     resolve_path: str
     ready_path: str
 
     def read(self, query: dict[str, list[str]]) -> EntryAsk:
-        """Return what is asked."""
+        """Decode the query of a request."""
 
     def answer(self, addresses: list[str], keep: float) -> bytes:
-        """Return the body of an answer; `keep` is in seconds."""
+        """Return the body of an answer that callers may cache for `keep` seconds."""
 
 
 class EntryHandler:
-    """Answer questions for addresses and for readiness."""
+    """Answers requests for addresses and for readiness."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._keep = keep
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one question."""
+        """Answer one request."""
         path, _, query = request.head.target.decode("latin-1").partition("?")
         if path == self._dialect.ready_path:
             responder.send(200 if self._ready() else 503, Headers(), b"")
--- a/packages/node/src/fielddrift_node/serving/membership.py
+++ b/packages/node/src/fielddrift_node/serving/membership.py
@@ -1,4 +1,4 @@
-"""Keep this node listed among all nodes, and know those that are listed."""
+"""Keep this node listed in the platform's table of nodes, and discover the nodes listed there."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 __all__ = ["Membership"]
 
 TABLE = "members"
-_JOIN_REST_SECONDS = 0.5
-_LOOK_SECONDS = 120.0
-"""Rest between looks at the list, for the node that looks on behalf of its data centre."""
-_LOOK_SECONDS_A_NODE = 30.0
-"""The same for each live node, for the others: together they look about twice a minute."""
-_LOOK_SPREAD = 1.2
-"""Rests differ by up to this factor, so that nodes that start together look apart."""
-_MOST_WRITES = 40
-"""Writes of one call, each under a condition: the platform takes 100 entries a call."""
+_JOIN_RETRY_SECONDS = 0.5
+_CHECK_SECONDS = 120.0
+"""Interval between reads of the list by the node that acts for its data centre."""
+_CHECK_SECONDS_PER_NODE = 30.0
+"""The same per live node, for all other nodes: together they read about twice a minute."""
+_CHECK_JITTER_FACTOR = 1.2
+"""Maximum random factor on intervals, so that nodes that start together do not read together."""
+_MAX_WRITE_COUNT = 40
+"""Conditional writes per call; the platform accepts 100 entries per call."""
 
 _log = structlog.get_logger()
 
@@ -38,12 +38,12 @@
 
 
 class Membership:
-    """This node's place among all nodes, which are listed in the platform's table.
+    """Registers this node in the platform's table and reads the other nodes from it.
 
-    Each node looks at the list now and then.  It adds itself and those that it hears where
-    they are missing, so one that was cut off for long, and dropped and forgotten by the
-    others, is listed and greeted again.  The first active node of a data centre drops its
-    rows that are long silent.
+    Each node reads the list periodically and adds itself and the live nodes that are missing. A
+    node that was disconnected for long, and removed by the others, is thus listed and contacted
+    again. The coordinator of a data centre removes the rows of its nodes that have been silent for
+    long.
     """
 
     def __init__(
@@ -65,88 +65,92 @@
         self._store_restored = asyncio.Event()
 
     def mark_store_restored(self) -> None:
-        """Take that the store went back: the first node nearby mends the list at once."""
+        """Handle a store restored from a backup: the data centre's coordinator repairs the list at
+        once."""
         if self._neighbours.is_local_coordinator(asyncio.get_running_loop().time()):
             self._store_restored.set()
 
     @property
     def joined_at(self) -> float:
-        """Return when this node had read the list first, on the loop's clock."""
+        """Return when this node first read the list, on the event loop's clock."""
         return self._joined_at
 
     async def run(self) -> None:
-        """Join, then look at the list now and then, until cancelled."""
+        """Join, then read the list periodically, until cancelled."""
         if self._joined_at == float("inf"):
             await self._join()
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._rest()):
+                async with asyncio.timeout(self._check_delay()):
                     await self._store_restored.wait()
             self._store_restored.clear()
             try:
-                await self._look()
+                await self._check()
             except RemoteCallError as error:
                 _log.warning("list of nodes not read", error=str(error))
 
     async def _join(self) -> None:
-        """Write this node's row, and greet the nodes that are listed."""
+        """Write this node's row, and discover the nodes that are listed."""
         for seed in self._settings.seeds:
             host = seed.rpartition(":")[0]
             if host != self._settings.host:
                 self._gossip.send_to_addresses([f"{host}:{self._settings.gossip_port}"])
         while True:
             try:
-                await self._platform.write(TABLE, [_write(self._neighbours.me)])
+                await self._platform.write(TABLE, [_node_write(self._neighbours.me)])
                 rows, _ = await self._platform.rows(TABLE)
                 break
             except RemoteCallError as error:
-                _log.warning("not joined yet", error=str(error))
-                await asyncio.sleep(_JOIN_REST_SECONDS)
-        self._introduce(rows)
+                _log.warning("joining failed, retrying", error=str(error))
+                await asyncio.sleep(_JOIN_RETRY_SECONDS)
+        self._add_nodes(rows)
         self._joined_at = asyncio.get_running_loop().time()
         _log.info("joined", listed=len(rows))
 
-    def _rest(self) -> float:
+    def _check_delay(self) -> float:
         now = asyncio.get_running_loop().time()
         nodes = (
             1
             if self._neighbours.is_local_coordinator(now)
             else 1 + len(self._neighbours.alive(now))
         )
-        rest = max(_LOOK_SECONDS, nodes * _LOOK_SECONDS_A_NODE)
-        return rest * self._rng.uniform(1.0, _LOOK_SPREAD)
+        interval = max(_CHECK_SECONDS, nodes * _CHECK_SECONDS_PER_NODE)
+        return interval * self._rng.uniform(1.0, _CHECK_JITTER_FACTOR)
 
-    async def _look(self) -> None:
-        """Read the list, and mend it: add nodes that live, and drop those long silent."""
+    async def _check(self) -> None:
+        """Read the list and repair it: add missing live nodes, remove nodes silent for long."""
         rows, _ = await self._platform.rows(TABLE)
         now = asyncio.get_running_loop().time()
         me = self._neighbours.me
         alive = {node.name: node for node in self._neighbours.alive(now)}
-        self._introduce(rows)
+        self._add_nodes(rows)
         others = {saved.key: saved.version for saved in rows if saved.key != me.name}
-        self._silent_rows.look(others, self._heard_of(others, rows, alive))
+        self._silent_rows.look(others, self._nodes_to_keep(others, rows, alive))
         listed = {saved.key for saved in rows}
         missing = [node for name, node in {**alive, me.name: me}.items() if name not in listed]
-        first = self._neighbours.is_local_coordinator(now)
-        gone = self._silent_rows.left_behind() if first else {}
-        await self._mend(missing, gone)
+        is_coordinator = self._neighbours.is_local_coordinator(now)
+        obsolete = self._silent_rows.left_behind() if is_coordinator else {}
+        await self._repair(missing, obsolete)
 
-    def _heard_of(
+    def _nodes_to_keep(
         self, others: Mapping[str, int], rows: list[SavedRow], alive: Mapping[str, Neighbour]
     ) -> set[str]:
-        """Return whose rows must stay: of other data centres only the relays are heard."""
-        mine = self._neighbours.me.data_centre
-        centres = {node.data_centre for node in alive.values()} - {mine}
-        far = {n.name for n in _nodes(rows) if n.data_centre in centres and n.name in others}
-        return far | alive.keys()
-
-    async def _mend(self, missing: list[Neighbour], gone: Mapping[str, int]) -> None:
-        # Under the versions that were read, for a node that starts just now writes its own row.
-        writes = [_write(node, expect=0) for node in missing]
-        writes += [RowWrite(name, None, version) for name, version in gone.items()]
+        """Return the nodes whose rows must stay. Only relays of other data centres send heartbeats
+        here, so all nodes of a data centre that is heard from are included."""
+        own_data_centre = self._neighbours.me.data_centre
+        reachable = {node.data_centre for node in alive.values()} - {own_data_centre}
+        remote = {
+            n.name for n in _decode_nodes(rows) if n.data_centre in reachable and n.name in others
+        }
+        return remote | alive.keys()
+
+    async def _repair(self, missing: list[Neighbour], obsolete: Mapping[str, int]) -> None:
+        # Conditional on the versions read, because a node that is just starting writes its own row.
+        writes = [_node_write(node, expect=0) for node in missing]
+        writes += [RowWrite(name, None, version) for name, version in obsolete.items()]
         if not writes:
             return
-        writes = writes[:_MOST_WRITES]
+        writes = writes[:_MAX_WRITE_COUNT]
         outcome = await self._platform.write(TABLE, writes)
         _log.info(
             "list of nodes mended",
@@ -155,21 +159,21 @@
             removed=[write.key for write in writes if write.value is None],
         )
 
-    def _introduce(self, rows: list[SavedRow]) -> None:
-        for node in _nodes(rows):
+    def _add_nodes(self, rows: list[SavedRow]) -> None:
+        for node in _decode_nodes(rows):
             self._neighbours.add(node)
 
 
-def _nodes(rows: list[SavedRow]) -> list[Neighbour]:
-    """Return the nodes that are listed; rows that are not understood name none."""
-    found = []
+def _decode_nodes(rows: list[SavedRow]) -> list[Neighbour]:
+    """Return the nodes that are listed; rows that cannot be decoded are skipped."""
+    decoded = []
     for saved in rows:
         try:
-            found.append(msgspec.json.decode(saved.value, type=_MemberRow).node)
+            decoded.append(msgspec.json.decode(saved.value, type=_MemberRow).node)
         except msgspec.DecodeError as error:
-            _log.error("member row not understood", row=saved.key, error=str(error))
-    return found
+            _log.error("member row cannot be decoded", row=saved.key, error=str(error))
+    return decoded
 
 
-def _write(node: Neighbour, *, expect: int | None = None) -> RowWrite:
+def _node_write(node: Neighbour, *, expect: int | None = None) -> RowWrite:
     return RowWrite(node.name, msgspec.json.encode(_MemberRow(node)), expect)
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -27,7 +27,7 @@
 from .platform_fleet import FleetCase, RunningNode, eventually
 from .test_neighbours import heartbeat, neighbour
 
-QUICK_LOOKS = {"_LOOK_SECONDS": 0.1, "_LOOK_SECONDS_A_NODE": 0.01}
+QUICK_CHECKS = {"_CHECK_SECONDS": 0.1, "_CHECK_SECONDS_PER_NODE": 0.01}
 QUICK_SILENCE = {"_SILENT_SECONDS": 0.5, "_SILENT_HEARTBEAT_SECONDS": 0.1, "_MAX_UNANSWERED": 5}
 LOOKS = 5
 
@@ -115,7 +115,7 @@
         for _ in range(times):
             now = asyncio.get_running_loop().time()
             self.view.receive(heartbeat(neighbour("n1")), now)
-            await self.membership._look()
+            await self.membership._check()
 
     async def test_a_look_is_one_call_where_nothing_is_wrong(self) -> None:
         self.table.put("n1", encoded(neighbour("n1")))
@@ -154,7 +154,7 @@
 
     async def asyncSetUp(self) -> None:
         for module, figures in (
-            (membership_module, QUICK_LOOKS),
+            (membership_module, QUICK_CHECKS),
             (neighbours_module, QUICK_SILENCE),
         ):
             patched = mock.patch.multiple(module, **figures)
