--- a/packages/core/src/fielddrift_core/catalog.py
+++ b/packages/core/src/fielddrift_core/catalog.py
@@ -11,6 +11,7 @@
 from typing import NamedTuple
 
 __all__ = [
+    "AnswerFormat",
     "Catalog",
     "CatalogCustomer",
     "EngineTraits",
@@ -19,7 +20,6 @@
     "Service",
     "Share",
     "StoreTraits",
-    "AnswerFormat",
 ]
 
 
--- a/packages/core/src/fielddrift_core/entry.py
+++ b/packages/core/src/fielddrift_core/entry.py
@@ -15,9 +15,9 @@
 from .names import rank
 
 __all__ = [
-    "TTL_SECONDS",
     "SMALL_FLEET_NODE_COUNT",
     "SPREAD_NODE_COUNT",
+    "TTL_SECONDS",
     "EntryAnswer",
     "audience",
     "order",
@@ -51,11 +51,11 @@
 
     `rotation` is a count of callers; it distributes them over the model's first nodes.
     """
-    near: list[Member] = []
-    far: list[Member] = []
+    local: list[Member] = []
+    remote: list[Member] = []
     for member in members:
-        (near if member.data_centre == data_centre else far).append(member)
-    ranked = [*_rotated(_ranked(near, model), rotation), *_ranked(far, model)]
+        (local if member.data_centre == data_centre else remote).append(member)
+    ranked = [*_rotated(_ranked(local, model), rotation), *_ranked(remote, model)]
     return EntryAnswer(tuple(ranked[:_MAX_ADDRESS_COUNT]), ttl)
 
 
@@ -64,14 +64,14 @@
 
     In a fleet of up to `SMALL_FLEET_NODE_COUNT` nodes these are all nodes.
     """
-    everyone = list(members)
-    if len(everyone) <= SMALL_FLEET_NODE_COUNT:
-        return everyone
+    nodes = list(members)
+    if len(nodes) <= SMALL_FLEET_NODE_COUNT:
+        return nodes
     chosen: list[Member] = []
-    for data_centre in sorted({member.data_centre for member in everyone}):
-        there = [member for member in everyone if member.data_centre == data_centre]
-        first = _ranked(there, model)[:SPREAD_NODE_COUNT]
-        chosen += [member for member in there if member.http in first]
+    for data_centre in sorted({member.data_centre for member in nodes}):
+        local_members = [member for member in nodes if member.data_centre == data_centre]
+        first = _ranked(local_members, model)[:SPREAD_NODE_COUNT]
+        chosen += [member for member in local_members if member.http in first]
     return chosen
 
 
--- a/packages/core/src/fielddrift_core/errors.py
+++ b/packages/core/src/fielddrift_core/errors.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-__all__ = ["ERROR_RESPONSES", "ErrorResponse", "ErrorKind", "Ran", "Refusal"]
+__all__ = ["ERROR_RESPONSES", "ErrorKind", "ErrorResponse", "Ran", "Refusal"]
 
 
 class ErrorKind(StrEnum):
--- a/packages/core/src/fielddrift_core/interfaces.py
+++ b/packages/core/src/fielddrift_core/interfaces.py
@@ -10,10 +10,10 @@
 from typing import NamedTuple, Protocol
 
 __all__ = [
+    "ExternalSystemError",
     "HostEntry",
     "HostList",
     "ObjectStore",
-    "ExternalSystemError",
     "Row",
     "Table",
     "Transaction",
@@ -25,15 +25,20 @@
 class ExternalSystemError(Exception):
     """A call to an external system failed.
 
-    `no_effect` is true when the call certainly had no effect, `refused` when the connection
+    `not_executed` is true when the call certainly had no effect, `refused` when the connection
     was refused, `broken` when the peer closed the connection before its answer was complete.
     """
 
     def __init__(
-        self, detail: str, *, no_effect: bool = False, refused: bool = False, broken: bool = False
+        self,
+        detail: str,
+        *,
+        not_executed: bool = False,
+        refused: bool = False,
+        broken: bool = False,
     ) -> None:
         super().__init__(detail)
-        self.no_effect = no_effect
+        self.not_executed = not_executed
         self.refused = refused
         self.broken = broken
 
@@ -83,7 +88,7 @@
         """Return up to `limit` rows whose key starts with `prefix` and sorts after `after`."""
 
     def commit(self, transaction: Transaction) -> TransactionResult:
-        """Commit or abort; an `ExternalSystemError` without `no_effect` leaves it unknown which."""
+        """Commit or abort; it is unknown which after an error without `not_executed`."""
 
 
 class ObjectStore(Protocol):
--- a/packages/core/src/fielddrift_core/leases.py
+++ b/packages/core/src/fielddrift_core/leases.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["LEASE_SECONDS", "Lease", "LeaseRow", "RENEW_INTERVAL_SECONDS"]
+__all__ = ["LEASE_SECONDS", "RENEW_INTERVAL_SECONDS", "Lease", "LeaseRow"]
 
 LEASE_SECONDS = 6.0
 RENEW_INTERVAL_SECONDS = 2.0
@@ -39,7 +39,7 @@
         self._duration = duration
         self._seen: LeaseRow | None = None
         self._seen_at = 0.0
-        self._until = float("-inf")
+        self._expires_at = float("-inf")
         self._fence = 0
 
     @property
@@ -54,7 +54,7 @@
 
     def held(self, now: float) -> bool:
         """Return whether this node certainly holds the lease at `now`."""
-        return now < self._until
+        return now < self._expires_at
 
     def next_row(self, row: LeaseRow | None, now: float) -> LeaseRow | None:
         """Return the row that is to replace `row`, None while another node may hold the lease."""
@@ -78,9 +78,9 @@
     def confirm(self, row: LeaseRow, sent_at: float) -> None:
         """Start the lease of `row` at `sent_at`, a time before the write of `row` was sent."""
         self._fence = row.fence
-        self._until = sent_at + self._duration
+        self._expires_at = sent_at + self._duration
 
     def release(self) -> LeaseRow:
         """Give up the lease; return the row that makes it available to other nodes at once."""
-        self._until = float("-inf")
+        self._expires_at = float("-inf")
         return LeaseRow(self._duty, "", self._fence, 0)
--- a/packages/core/src/fielddrift_core/model.py
+++ b/packages/core/src/fielddrift_core/model.py
@@ -13,13 +13,13 @@
 __all__ = [
     "ENGINE_WORK",
     "Configuration",
+    "CostWeights",
     "Customer",
     "Deployment",
     "HoldRule",
     "StoreHost",
     "Target",
     "TargetRole",
-    "CostWeights",
 ]
 
 
--- a/packages/core/src/fielddrift_core/names.py
+++ b/packages/core/src/fielddrift_core/names.py
@@ -81,11 +81,11 @@
     """
     key = hashlib.sha256(salt.encode()).digest()
     digests: list[str] = []
-    before = b""
+    previous = b""
     for start in range(0, len(text) - BLOCK_BYTES + 1, BLOCK_BYTES):
         block = text[start : start + BLOCK_BYTES]
-        before = hashlib.blake2b(before + block, key=key, digest_size=_DIGEST_BYTES).digest()
-        digests.append(before.hex())
+        previous = hashlib.blake2b(previous + block, key=key, digest_size=_DIGEST_BYTES).digest()
+        digests.append(previous.hex())
     return digests
 
 
--- a/packages/node/src/fielddrift_node/filters/call.py
+++ b/packages/node/src/fielddrift_node/filters/call.py
@@ -87,8 +87,8 @@
     except ExternalSystemError as error:
         runtime.board.failed(target.name)
         exchange.broke_off(target, error)
-        reason = "connect" if error.no_effect else "cut-before-head"
-        raise TryFailed(str(error), reason, sure=error.no_effect) from None
+        reason = "connect" if error.not_executed else "cut-before-head"
+        raise TryFailed(str(error), reason, sure=error.not_executed) from None
     finally:
         runtime.board.ended(target.name, exchange.request_id)
     runtime.heard_headers(target.name, reply.headers)
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -138,8 +138,8 @@
     except ExternalSystemError as error:
         runtime.board.failed(name)
         exchange.broke_off(choice.target, error)
-        reason = "connect" if error.no_effect else "cut-before-head"
-        raise TryFailed(str(error), reason, sure=error.no_effect) from None
+        reason = "connect" if error.not_executed else "cut-before-head"
+        raise TryFailed(str(error), reason, sure=error.not_executed) from None
     runtime.heard_headers(name, head.headers)
     if proved_not_started(head):
         runtime.board.worked(name)
--- a/packages/node/src/fielddrift_node/http_client.py
+++ b/packages/node/src/fielddrift_node/http_client.py
@@ -218,7 +218,7 @@
         if not ended:
             os.write(self._writer, b".")
         elif isinstance(item, _Transfer):
-            item.stream.end(_closed(no_effect=True))
+            item.stream.end(_closed(not_executed=True))
 
     # --- in the thread -----------------------------------------------------
 
@@ -250,9 +250,9 @@
         while self._todo:
             _, item = self._todo.popleft()
             if isinstance(item, _Transfer):
-                item.stream.end(_closed(no_effect=True))
+                item.stream.end(_closed(not_executed=True))
         for transfer in self._transfers.values():
-            transfer.stream.end(_closed(no_effect=False))
+            transfer.stream.end(_closed(not_executed=False))
 
     def _turn_until_stopped(self) -> None:
         while not self._stopped:
@@ -308,11 +308,11 @@
         sent = curl.getinfo(pycurl.REQUEST_SIZE) > 0
         no_connection = code in (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
         refused = no_connection and curl.getinfo(pycurl.OS_ERRNO) == errno.ECONNREFUSED
-        no_effect = not sent and (no_connection or code == pycurl.E_OPERATION_TIMEDOUT)
+        not_executed = not sent and (no_connection or code == pycurl.E_OPERATION_TIMEDOUT)
         broken = code in _BROKEN_OFF or (sent and no_connection)
         url = self._transfers[curl].call.url
         return ExternalSystemError(
-            f"{url}: {message or code}", no_effect=no_effect, refused=refused, broken=broken
+            f"{url}: {message or code}", not_executed=not_executed, refused=refused, broken=broken
         )
 
     def _finish(self, curl: pycurl.Curl, error: ExternalSystemError | None) -> None:
@@ -325,5 +325,5 @@
         transfer.stream.end(error)
 
 
-def _closed(*, no_effect: bool) -> ExternalSystemError:
-    return ExternalSystemError("this process's client was closed", no_effect=no_effect)
+def _closed(*, not_executed: bool) -> ExternalSystemError:
+    return ExternalSystemError("this process's client was closed", not_executed=not_executed)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -58,7 +58,7 @@
 
     def _check(self) -> None:
         if self.down:
-            raise ExternalSystemError("table is down", no_effect=True)
+            raise ExternalSystemError("table is down", not_executed=True)
 
 
 class FakeObjects:
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -233,14 +233,14 @@
             self.cutter.read = cut
             with self.assertRaises(ExternalSystemError) as raised:
                 self.client.request(self._call(self.cutter.address))
-            self.assertFalse(raised.exception.no_effect, f"cut after {cut} bytes")
+            self.assertFalse(raised.exception.not_executed, f"cut after {cut} bytes")
 
     def test_a_refused_connection_is_sure(self) -> None:
         address = self.cutter.address
         self.cutter.close()
         with self.assertRaises(ExternalSystemError) as raised:
             self.client.request(self._call(address))
-        self.assertTrue(raised.exception.no_effect)
+        self.assertTrue(raised.exception.not_executed)
 
     def test_the_client_never_sends_a_call_again_by_itself(self) -> None:
         self.cutter.read = 20
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -69,4 +69,4 @@
         stream = client.stream(self.call)
         with self.assertRaises(ExternalSystemError) as caught:
             stream.head.result(timeout=WAIT_SECONDS)
-        self.assertTrue(caught.exception.no_effect)
+        self.assertTrue(caught.exception.not_executed)
