--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -1,4 +1,4 @@
-"""Hold a request on its way: what is asked, under which catalog, what became of it."""
+"""Hold the state of a request in progress, and what the request handlers share."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 __all__ = ["Call", "RelayProgress", "Refused", "ServingContext", "Trace", "short_id"]
 
-_MOST_ID_CHARACTERS = 40
-"""What a log line has of an event's id: a target may send any, a line must stay short."""
+_MAX_ID_CHARACTERS = 40
+"""Maximum length of an event id in a log line: a target may send ids of any length."""
 
-_keys = itertools.count(1)
-"""Keys of the requests of this process, see `Trace.key`."""
+_request_keys = itertools.count(1)
+"""Source of request keys, unique within this process; see `Trace.key`."""
 
 
 def short_id(event_id: str) -> str:
-    """Return an event's id as log lines have it, cut at 40 characters."""
-    return event_id[:_MOST_ID_CHARACTERS]
+    """Return an event id as shown in log lines, truncated to 40 characters."""
+    return event_id[:_MAX_ID_CHARACTERS]
 
 
 class Refused(Exception):
-    """A request that ends with an answer of the node's own."""
+    """Raised when the node itself refuses a request; `refusal` is the response to the caller."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -45,65 +45,65 @@
 
 
 class RelayProgress(TypedDict, total=False):
-    """What a log line tells of a streaming answer, from all of its runs together."""
+    """Log fields of the relayed part of an event stream, summed over its runs."""
 
     events: int
-    """Events handed on."""
+    """Relayed events."""
     odd: int
-    """Those of them that have not just one numbered id and one line of data."""
+    """Relayed events that do not consist of one numbered id and one line of data."""
     last: str
-    """The id of the last of them, cut at 40 characters; empty for none."""
+    """The id of the last relayed event, truncated to 40 characters; empty for none."""
     partial_bytes: int
-    """Bytes of an event that has begun and not ended."""
+    """Received bytes of an incomplete event."""
     runs: int
-    """Runs that gave something to hand on."""
+    """Runs that produced output."""
 
 
 class Trace:
-    """What happened to a request, for its log line."""
+    """Records what happened to a request, mostly for its log lines."""
 
     def __init__(self) -> None:
-        self.key = str(next(_keys))
-        """Tells the request apart at this node: callers choose ids, and may choose one for two."""
+        self.key = str(next(_request_keys))
+        """Identifies the request at this node: two callers may choose the same request id."""
         self.status = 0
         self.targets: list[str] = []
         self.reasons: list[str] = []
         self.unproved = 0
-        """Sends that left, and of which no target proved that they did not run."""
+        """Sends that may have run: the target has not proved that they did not."""
         self.parts: list[str] = []
-        """Each shared part of the prompt, and whether it is fetched, saved or read."""
+        """Each shared part of the prompt, and whether it is fetched, saved or computed."""
         self.weights: int | None = None
         self.outdated_seconds = 0.0
-        """For how long these weights had not been the newest at the last send."""
+        """Seconds for which these weights had been outdated at the last send."""
         self.outdated_by: int | None = None
-        """The first newer version, None when there was none."""
+        """The first newer version, None if there was none."""
         self.estimate = 0.0
         self.held = 0.0
-        """Seconds for which the prompt waited at this node for room at an engine."""
+        """Seconds for which the prompt waited at this node for an engine with room."""
         self.ahead = Burden()
-        """What was known to be at the engine when it was chosen."""
+        """The known load of the engine when it was chosen."""
         self.first_event: float | None = None
         self.sent_at = 0.0
         """Loop time of the last send."""
         self.framed = False
-        """Whether the end of the answer was marked, not told by the end of its connection."""
+        """Whether the response had an explicit end, not only the end of its connection."""
         self.connection = ""
-        """`kept` or `new`, as the last send's was; empty where none came up."""
+        """`kept` or `new` for the last send: a reused or a new connection; empty for none."""
         self.runs = 0
         self.framer: EventFramer | None = None
-        """What cuts the answer of the last send into events, None for a plain request."""
+        """Splits the response to the last send into events; None for a plain request."""
         self.events_before = 0
-        """Events that were handed on before the last send."""
+        """Events that were relayed before the last send."""
         self.odd_before = 0
-        """Those of them that are odd, see `EventCutter.odd`."""
+        """Odd events that were relayed before the last send, see `EventFramer.odd`."""
 
     @property
     def broke_mid_event(self) -> bool:
-        """Return whether bytes of an event that has not ended came of the last send."""
+        """Return whether the last send ended with an incomplete event."""
         return self.framer is not None and self.framer.partial
 
     def begin_event_stream(self, *, after: str) -> EventFramer:
-        """Return what cuts the answer of the next send into events, behind the id `after`."""
+        """Return a new framer for the events of the next send, which follow the id `after`."""
         if self.framer is not None:
             self.events_before += self.framer.events
             self.odd_before += self.framer.odd
@@ -111,7 +111,7 @@
         return self.framer
 
     def relay_progress(self) -> RelayProgress:
-        """Return what has been handed on so far, nothing for a plain request."""
+        """Return what has been relayed so far; empty for a plain request."""
         framer = self.framer
         if framer is None:
             return {}
@@ -125,7 +125,10 @@
 
 
 class Call(NamedTuple):
-    """A request that was judged: what it asks, under which catalog, until when."""
+    """An accepted request with its catalog, route, service, customer and deadline.
+
+    `arrived_at` and `deadline` are loop times.
+    """
 
     parsed: ParsedRequest
     catalog: Catalog
@@ -136,30 +139,30 @@
     deadline: float
     trace: Trace
     waited_seconds: float = 0.0
-    """Seconds for which the caller waited before this request, as far as that is known."""
+    """Estimated seconds for which the caller had waited before it sent this request."""
 
     @property
     def late(self) -> bool:
-        """Return whether an answer cannot be in time any more."""
+        """Return whether a response can no longer be in time."""
         return self.waited_seconds >= self.route.latency_goal
 
     @property
     def priority(self) -> int:
-        """Return how urgent the request is, 0 first: the customer's rank before the route's."""
+        """Return the priority, 0 for the most urgent: the customer's if set, else the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
 
     @property
     def customer_name(self) -> str:
-        """Return the customer's name, empty without one."""
+        """Return the customer's name, empty for none."""
         return "" if self.customer is None else self.customer.name
 
     @property
     def fingerprint(self) -> str:
-        """Return what all tries of the same request have in common: caller, place and body.
+        """Return a hash of caller, host, method, target and body: the same for each retry.
 
-        A prompt that comes without a body is told by its parts.
+        A prompt without a body is identified by its model and parts.
         """
         head, body = self.parsed.request.head, self.parsed.request.body
         prompt = self.parsed.prompt
@@ -172,39 +175,39 @@
 
 
 class CrashCheck(Protocol):
-    """What requests ask, and tell, of those that end their targets."""
+    """Detects requests that crash their targets, and holds them back."""
 
     def check(self, call: Call) -> None:
         """Raise `Refused` for a request that is held back."""
 
     def record_send(self, call: Call) -> None:
-        """Take that a request is about to be sent; raise `Refused` for one that is held back."""
+        """Record that a request is about to be sent; raise `Refused` if it is held back."""
 
     def failed(self, call: Call, instance: Instance, reason: str, sent_at: float) -> None:
-        """Take a send that failed once it had left."""
+        """Record a send that failed after it had left this node."""
 
     def refused(self, instance: Instance) -> None:
-        """Take that a connection to a target was refused."""
+        """Record that a target refused a connection."""
 
     def answered(self, call: Call, target: str, sent_at: float) -> None:
-        """Take that a target answered a request whole."""
+        """Record that a target sent a complete response."""
 
 
 class SendCheck(Protocol):
-    """What requests ask of targets that bear, or want, few of them."""
+    """Limits what is sent to targets that are cold, limited or paused."""
 
     def allows(self, service: Service, instance: Instance, now: float) -> bool:
         """Return whether this node may send to `instance` now."""
 
     def sent(self, instance: Instance, now: float) -> None:
-        """Take that a request is about to be sent."""
+        """Record that a request is about to be sent."""
 
     def shortest_wait(self, instances: Iterable[Instance], now: float) -> float | None:
-        """Return the seconds until one of `instances` may be sent to, None where none is known."""
+        """Return the seconds until one of `instances` may be sent to, None if that is unknown."""
 
 
 class ServingContext(NamedTuple):
-    """What the ways of a request share."""
+    """What the request handlers of a node share."""
 
     settings: NodeSettings
     views: Views
@@ -215,16 +218,16 @@
     rng: random.Random
     metrics: Metrics
     on_load_change: Callable[[], None]
-    """Tells the nodes nearby soon what this one sends."""
+    """Schedules an update of this node's load to the nearby nodes."""
     crashes: CrashCheck
-    """Refuses requests that end their targets, and learns which do."""
+    """Detects and refuses requests that crash their targets."""
     gate: SendCheck
-    """Keeps what targets are sent within what they bear, and want."""
+    """Limits what is sent to cold, limited and paused targets."""
     notices: NoticeHandler
-    """Takes what targets say of themselves."""
+    """Handles what targets report about themselves."""
 
     def budget(self, service: str) -> WindowBudget:
-        """Return the budget of repeated sends to `service`."""
+        """Return the retry budget of `service`; create it if needed."""
         if service not in self.budgets:
             bounds = self.settings.bounds
             self.budgets[service] = WindowBudget(
--- a/packages/node/src/fielddrift_node/serving/gateway.py
+++ b/packages/node/src/fielddrift_node/serving/gateway.py
@@ -1,4 +1,4 @@
-"""Take a caller's request to a target and its answer back."""
+"""Handle callers' requests: validate and route them, and send the responses."""
 
 from __future__ import annotations
 
@@ -18,21 +18,23 @@
 
 __all__ = ["Gateway"]
 
-_STATUS_NOT_PROVED: Mapping[int, int] = {503: 502, 429: 502}
-"""A refusal that would promise "has not run" becomes one that promises nothing."""
-_RETURN_SECONDS = 0.25
-"""When to come back where nothing better is known: a tenth of the shortest deadline."""
-_ELSEWHERE_SECONDS = 0.05
-"""When to come back to another node: at once, but for the time of a new connection."""
-_DEFAULT_PATIENCE = 30.0
-_ASK_AGAIN_SECONDS = 0.4
-"""How long a request that seems not allowed waits for a newer catalog after a pause."""
+_STATUS_IF_MAY_HAVE_RUN: Mapping[int, int] = {503: 502, 429: 502}
+"""Statuses for requests that may have run, in place of those which mean that it has not run."""
+_DEFAULT_RETRY_SECONDS = 0.25
+"""Default for `Retry-After`: a tenth of the shortest deadline."""
+_OTHER_NODE_RETRY_SECONDS = 0.05
+"""`Retry-After` of a stopping node: other nodes can be used at once, this is the time for a new
+connection."""
+_DEFAULT_TIMEOUT_SECONDS = 30.0
+_REFRESH_TIMEOUT_SECONDS = 0.4
+"""After a pause of this process, the maximum time that a request which seems not allowed waits
+for a newer catalog."""
 
 _log = structlog.get_logger()
 
 
 class Gateway:
-    """Judge each request, and hand it to the way that serves it."""
+    """Validates each request and passes it to the handler for prompts or for plain requests."""
 
     def __init__(self, *, context: ServingContext) -> None:
         self._context = context
@@ -40,7 +42,7 @@
         self._plain = PlainRequests(context=context)
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one request."""
+        """Respond to one request."""
         parsed = self._context.callers.read(request)
         if isinstance(parsed, InvalidRequest):
             refusal = Refusal(ErrorKind.BAD_REQUEST, parsed.detail, Ran.NO)
@@ -51,11 +53,11 @@
         self._context.views.look(loop.time())
         self._context.views.load.add(loop.time())
         try:
-            call = await self._judge(parsed, trace)
+            call = await self._resolve(parsed, trace)
             async with asyncio.timeout_at(call.deadline):
                 await self._serve(call, responder)
-            self._note_whole(call)
-            self._log_end(call, "answered", loop.time())
+            self._record_complete(call)
+            self._log_response(call, "answered", loop.time())
         except Refused as refused:
             self._refuse(responder, parsed.request_id, refused.refusal, trace)
         except TimeoutError:
@@ -79,14 +81,14 @@
         else:
             await self._plain.serve(call, responder)
 
-    def _note_whole(self, call: Call) -> None:
-        """Note that a target answered: so this request did not end it."""
+    def _record_complete(self, call: Call) -> None:
+        """Record that a target sent a complete response: this request did not crash it."""
         trace = call.trace
         if trace.framed and trace.status < 500:
             self._context.crashes.answered(call, trace.targets[-1], trace.sent_at)
 
     def _check_leaving(self, call: Call) -> None:
-        """Raise `Refused` where this node may end before the answer does."""
+        """Raise `Refused` if this node may stop before the response is complete."""
         leaving = self._context.views.leaving
         if leaving is None:
             return
@@ -99,23 +101,24 @@
             )
         if not leaving.accepts(now, longest):
             detail = (
-                f"this node stops in {leaving.closes_at - now:.2f} s, it may take {longest:.2f} s"
+                f"this node stops in {leaving.closes_at - now:.2f} s, "
+                f"the response may take {longest:.2f} s"
             )
-            raise Refused(Refusal(ErrorKind.STOPPING, detail, Ran.NO, _ELSEWHERE_SECONDS))
+            raise Refused(Refusal(ErrorKind.STOPPING, detail, Ran.NO, _OTHER_NODE_RETRY_SECONDS))
 
-    # --- judging ------------------------------------------------------------
+    # --- validation and routing ---------------------------------------------
 
-    async def _judge(self, parsed: ParsedRequest, trace: Trace) -> Call:
+    async def _resolve(self, parsed: ParsedRequest, trace: Trace) -> Call:
         try:
-            return self._call(parsed, trace)
+            return self._build_call(parsed, trace)
         except Refused:
             if not self._context.views.stale.is_set():
                 raise
-        # This process was paused: what it believes may be long outdated.
-        await self._context.views.refreshed(_ASK_AGAIN_SECONDS)
-        return self._call(parsed, trace)
+        # This process was paused, so its views may be outdated.
+        await self._context.views.refreshed(_REFRESH_TIMEOUT_SECONDS)
+        return self._build_call(parsed, trace)
 
-    def _call(self, parsed: ParsedRequest, trace: Trace) -> Call:
+    def _build_call(self, parsed: ParsedRequest, trace: Trace) -> Call:
         views = self._context.views
         catalog = views.catalog
         if catalog is None:
@@ -124,40 +127,48 @@
         route = catalog.route(parsed.host, parsed.path)
         if route is None:
             if views.stale.is_set():
-                raise self._unsure("route")
+                raise self._unknown_after_pause("route")
             detail = f"host {parsed.host!r}, path {parsed.path!r}: no route"
             raise Refused(Refusal(ErrorKind.NOT_FOUND, detail, Ran.NO))
         customer = catalog.customer(parsed.key) if parsed.key else None
         if customer is None and catalog.customers and not route.anonymous:
             if views.stale.is_set():
-                raise self._unsure("key")
+                raise self._unknown_after_pause("key")
             raise Refused(Refusal(ErrorKind.UNAUTHORIZED, "the key is missing or unknown", Ran.NO))
-        service = catalog.services.get(self._share(route, parsed))
+        service = catalog.services.get(self._choose_service(route, parsed))
         if service is None:
             raise Refused(
                 Refusal(ErrorKind.NO_TARGET, f"route {route.name}: no service", Ran.NO, 1.0)
             )
-        patience = (
-            parsed.timeout_seconds if parsed.timeout_seconds is not None else _DEFAULT_PATIENCE
+        timeout_seconds = (
+            parsed.timeout_seconds
+            if parsed.timeout_seconds is not None
+            else _DEFAULT_TIMEOUT_SECONDS
         )
-        began = parsed.request.arrived
-        deadline = began + min(patience, route.timeout)
-        waited = (
-            views.waits.waited(route.name, patience) if parsed.timeout_seconds is not None else 0.0
+        arrived_at = parsed.request.arrived
+        deadline = arrived_at + min(timeout_seconds, route.timeout)
+        waited_seconds = (
+            views.waits.waited(route.name, timeout_seconds)
+            if parsed.timeout_seconds is not None
+            else 0.0
+        )
+        return Call(
+            parsed, catalog, route, service, customer, arrived_at, deadline, trace, waited_seconds
         )
-        return Call(parsed, catalog, route, service, customer, began, deadline, trace, waited)
 
-    def _unsure(self, what: str) -> Refused:
+    def _unknown_after_pause(self, what: str) -> Refused:
         detail = f"this node was paused and does not know whether the {what} exists"
-        return Refused(Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.NO, _RETURN_SECONDS, "stale"))
+        return Refused(
+            Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.NO, _DEFAULT_RETRY_SECONDS, "stale")
+        )
 
-    def _share(self, route: Route, parsed: ParsedRequest) -> str:
+    def _choose_service(self, route: Route, parsed: ParsedRequest) -> str:
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
         return self._context.rng.choices(route.shares, weights)[0].service
 
-    # --- ends ---------------------------------------------------------------
+    # --- responses ----------------------------------------------------------
 
     def _refuse(
         self, responder: Responder, request_id: str, refusal: Refusal, trace: Trace
@@ -178,10 +189,10 @@
         if refusal.kind is ErrorKind.DEADLINE and refusal.ran is not Ran.NO:
             status = 504
         elif refusal.ran is not Ran.NO:
-            status = _STATUS_NOT_PROVED.get(status, status)
+            status = _STATUS_IF_MAY_HAVE_RUN.get(status, status)
         retry_after = refusal.retry_after
         if status == 503 and retry_after is None:
-            retry_after = _RETURN_SECONDS
+            retry_after = _DEFAULT_RETRY_SECONDS
         reason = refusal.reason or refusal.kind.value
         self._context.metrics.refusals.inc(label_value=reason)
         headers = self._context.callers.refusal_headers(request_id, retry_after)
@@ -198,7 +209,7 @@
         )
         responder.send(status, headers, refusal.detail.encode("utf-8", "replace"))
 
-    def _log_end(self, call: Call, outcome: str, now: float) -> None:
+    def _log_response(self, call: Call, outcome: str, now: float) -> None:
         trace = call.trace
         first = trace.first_event
         metrics = self._context.metrics
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -79,8 +79,8 @@
 
     def __init__(self, *, context: ServingContext) -> None:
         self._context = context
-        self._kept = PartTransferPlanner(views=context.views)
-        self._placement = Placement(context=context, kept=self._kept)
+        self._transfers = PartTransferPlanner(views=context.views)
+        self._placement = Placement(context=context, kept=self._transfers)
 
     async def serve(self, call: Call, responder: Responder) -> None:
         """Respond to `call`; raise `Refused` if no engine can serve it."""
@@ -284,7 +284,7 @@
         assert prompt is not None
         views = self._context.views
         now = asyncio.get_running_loop().time()
-        salt = self._kept.salt(call, prompt, choice.instance.name)
+        salt = self._transfers.salt(call, prompt, choice.instance.name)
         weights = views.weights_of(choice.instance.name, prompt.model)
         self._record_weights(call, prompt.model, weights, now)
         call.trace.estimate = choice.seconds
@@ -296,7 +296,7 @@
             customer=call.customer_name,
             salt=salt,
             weights=weights,
-            fetch=self._kept.fetch(call, choice, salt),
+            fetch=self._transfers.fetch(call, choice, salt),
             resume_after=resume_after or call.parsed.resume_after,
             urgency=self._urgency(call),
         )
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -72,7 +72,7 @@
 
     def __init__(self, *, context: ServingContext, kept: PartTransferPlanner) -> None:
         self._context = context
-        self._kept = kept
+        self._transfers = kept
 
     async def place(self, call: Call, attempts: Attempts, *, resumes: bool) -> EngineChoice:
         """Return the engine to send to, once it has room; raise `Refused` if none is in time."""
@@ -211,7 +211,7 @@
         prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
         now = asyncio.get_running_loop().time()
-        lookup = self._kept.lookup(call, prompt, now)
+        lookup = self._transfers.lookup(call, prompt, now)
         return choose_engine(
             prompt,
             self._engine_states(call, tried, lookup, _EngineFilter(memory_fraction, sends), now),
--- a/packages/node/src/fielddrift_node/serving/plain.py
+++ b/packages/node/src/fielddrift_node/serving/plain.py
@@ -1,4 +1,4 @@
-"""Serve requests to plain services: one whole answer, checked before it is passed on."""
+"""Serve requests to plain services: each response is read completely before it is sent on."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 
 __all__ = ["PlainRequests"]
 
-_SILENCE_AIMS = 4.0
-"""Silence of so many times a route's aim, after which a repeatable request is sent elsewhere."""
-_LEAST_SILENCE = 0.35
+_TIMEOUT_GOALS = 4.0
+"""Time without a response, in the route's latency goals, after which a repeatable request is sent
+to another target."""
+_MIN_TIMEOUT_SECONDS = 0.35
 
 
 class PlainRequests:
-    """Send to the target with the least expected time; again elsewhere where allowed."""
+    """Sends each request to the target with the lowest expected time; retries where allowed."""
 
     def __init__(self, *, context: ServingContext) -> None:
         self._context = context
 
     async def serve(self, call: Call, responder: Responder) -> None:
-        """Answer `call`; raise `Refused`."""
+        """Respond to `call`; raise `Refused` if no target can serve it."""
         attempts = Attempts(call=call, context=self._context)
         while True:
             instance = self._choose(call, attempts.tried)
@@ -36,7 +37,7 @@
                 raise attempts.exhausted()
             attempts.begin(instance)
             try:
-                head, body = await self._try(call, instance, may_retry=attempts.may_retry())
+                head, body = await self._attempt(call, instance, may_retry=attempts.may_retry())
             except AttemptFailed as failure:
                 attempts.failed(failure)
                 continue
@@ -48,7 +49,7 @@
     def _choose(self, call: Call, tried: set[str]) -> Instance | None:
         views = self._context.views
         now = asyncio.get_running_loop().time()
-        sights = [
+        states = [
             PlainTargetState(
                 i, views.workload.burden_of(i.name, now), views.health.share(i.name, now)
             )
@@ -56,13 +57,13 @@
             if self._context.gate.allows(call.service, i, now)
         ]
         return choose_plain_target(
-            sights,
+            states,
             data_centre=self._context.settings.data_centre,
             tried=tried,
             rng=self._context.rng,
         )
 
-    async def _try(
+    async def _attempt(
         self, call: Call, instance: Instance, *, may_retry: bool
     ) -> tuple[ResponseHead, bytes]:
         views = self._context.views
@@ -72,7 +73,7 @@
         )
         views.workload.begin(instance.name, call.trace.key, 0)
         try:
-            async with asyncio.timeout(self._patience(call) if may_retry else None):
+            async with asyncio.timeout(self._timeout(call) if may_retry else None):
                 head, body = await self._exchange(call, outgoing)
         except TimeoutError:
             views.health.failed(instance.name, loop.time())
@@ -97,9 +98,9 @@
 
     async def _exchange(self, call: Call, outgoing: OutgoingRequest) -> tuple[ResponseHead, bytes]:
         exchange, head = await send_once(self._context, outgoing, call)
-        return head, await self._body(outgoing, exchange)
+        return head, await self._read_body(outgoing, exchange)
 
-    async def _body(self, outgoing: OutgoingRequest, exchange: Exchange) -> bytes:
+    async def _read_body(self, outgoing: OutgoingRequest, exchange: Exchange) -> bytes:
         try:
             return await exchange.body()
         except ExchangeError as error:
@@ -107,7 +108,7 @@
         finally:
             exchange.cancel()
 
-    def _patience(self, call: Call) -> float | None:
+    def _timeout(self, call: Call) -> float | None:
         if not call.route.repeatable:
             return None
-        return max(_LEAST_SILENCE, _SILENCE_AIMS * call.route.latency_goal)
+        return max(_MIN_TIMEOUT_SECONDS, _TIMEOUT_GOALS * call.route.latency_goal)
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -1,4 +1,4 @@
-"""Tell how one sending to one target failed, and decide whether another may follow."""
+"""Send a request to one target, classify failures, and decide whether to retry."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 __all__ = ["Attempts", "AttemptFailed", "send_once"]
 
 MAX_CONNECT_FAILURES = 4
-"""Targets to which no connection came up, before a request is refused."""
+"""Failed connections to targets after which a request is refused."""
 CONNECT_TIMEOUT_SECONDS = 0.35
-"""A connection within a region takes some ms; a lost opening packet is sent again after 1 s."""
-_LEAST_CONNECTIONS = 4
-"""Connections to a target that a node may have, however many nodes there are."""
-_FAILED = 500
-"""The least status that tells that a target failed."""
-_UNSAFE_MOST_IDLE = 0.4
-"""A kept connection on which something came so recently is still served by its target."""
+"""A connection within a region takes a few ms; a lost SYN packet is resent only after 1 s."""
+_MIN_CONNECTION_COUNT = 4
+"""Minimum share of a node in the connections to a target, for any number of nodes."""
+_FIRST_SERVER_ERROR_STATUS = 500
+"""The lowest status that counts as a failure of the target."""
+_NOT_REPEATABLE_MAX_IDLE_SECONDS = 0.4
+"""A reused connection that received data this recently is still open at its target."""
 
 _log = structlog.get_logger()
 
 
 class AttemptFailed(Exception):
-    """One sending that gave no answer to deliver.
+    """Raised when one send produced no response that can be relayed.
 
-    `reached` is False when no byte left; `not_run` is proof that it did not
-    run.  `refused` says that nobody listened at its address.
+    `reached` is False if no byte was sent.  `not_run` means that the request provably did not
+    run.  `refused` means that the connection was refused.
     """
 
     def __init__(
@@ -53,30 +53,30 @@
 
 
 class Attempts:
-    """Count a request's sendings against its route's limit and the shared budget."""
+    """Counts the sends of a request against its route's limit and the shared retry budget."""
 
     def __init__(self, *, call: Call, context: ServingContext) -> None:
         self._call = call
         self._context = context
         self._reached = 0
-        self._connects = 0
+        self._connect_failures = 0
         self._instance: Instance | None = None
-        """The target of the last sending."""
+        """The target of the last send."""
         self.tried: set[str] = set()
 
     def begin(self, instance: Instance) -> None:
-        """Note a sending to a target.
+        """Record a send to a target.
 
-        Raise `Refused` when the budget has no room for it, or the request is held back.
+        Raise `Refused` if the retry budget is exhausted or the request is held back.
         """
-        # Since it came in, it may have ended its targets: at other nodes too.
+        # The request may have crashed targets since it arrived, also at other nodes.
         self._context.crashes.record_send(self._call)
         now = asyncio.get_running_loop().time()
         budget = self._context.budget(self._call.service.name)
         if self._reached == 0:
             budget.record_first(now)
         elif not budget.spend(now, nodes=self._context.views.nodes):
-            raise Refused(self._refusal("repeated sends are used up", None))
+            raise Refused(self._refusal("the retry budget is exhausted", None))
         self._context.gate.sent(instance, now)
         self._context.metrics.sends.inc()
         self._instance = instance
@@ -86,7 +86,7 @@
         self._call.trace.connection = ""
 
     def failed(self, failure: AttemptFailed) -> None:
-        """Take a failure; raise `Refused` unless another sending may follow."""
+        """Record a failed send; raise `Refused` unless the request may be retried."""
         call = self._call
         call.trace.reasons.append(failure.reason)
         self._context.metrics.retries.inc(label_value=failure.reason)
@@ -105,21 +105,21 @@
             answer_begun=call.trace.first_event is not None,
             **call.trace.relay_progress(),
         )
-        self._watch(failure)
+        self._report_failure(failure)
         if failure.reached:
             self._reached += 1
         else:
-            self._connects += 1
-        may = failure.not_run or call.route.repeatable
+            self._connect_failures += 1
+        retryable = failure.not_run or call.route.repeatable
         if (
-            not may
+            not retryable
             or self._reached >= call.route.attempts
-            or self._connects >= MAX_CONNECT_FAILURES
+            or self._connect_failures >= MAX_CONNECT_FAILURES
         ):
             raise self.exhausted(str(failure))
 
-    def _watch(self, failure: AttemptFailed) -> None:
-        """Tell whoever watches for requests that end their targets."""
+    def _report_failure(self, failure: AttemptFailed) -> None:
+        """Report the failure to the detection of requests that crash their targets."""
         instance = self._instance
         assert instance is not None
         if failure.reached:
@@ -129,10 +129,10 @@
             self._context.crashes.refused(instance)
 
     def exhausted(self, detail: str = "no target can take it") -> Refused:
-        """Return the end of a request that no target can serve, or go on with.
+        """Return the refusal of a request that no target can serve or resume.
 
-        Its caller may come back as soon as any target takes requests: what one target asked
-        of this node keeps nobody from the others.
+        Its retry time is when any target accepts requests: a pause that one target asked for
+        does not apply to the others.
         """
         now = asyncio.get_running_loop().time()
         serving = self._context.views.registry.serving(self._call.service.name)
@@ -141,7 +141,7 @@
         )
 
     def may_retry(self) -> bool:
-        """Return whether the route allows another sending."""
+        """Return whether the route allows another send."""
         return self._reached + 1 < self._call.route.attempts
 
     def _refusal(self, detail: str, return_after: float | None) -> Refusal:
@@ -152,9 +152,9 @@
 async def send_once(
     context: ServingContext, outgoing: OutgoingRequest, call: Call
 ) -> tuple[Exchange, ResponseHead]:
-    """Send, and return the exchange once its head is here; raise `AttemptFailed`.
+    """Send a request; return the exchange and the response head, or raise `AttemptFailed`.
 
-    An answer that proves that nothing ran is a failure here.
+    A response which proves that the request did not run is a failure.
     """
     address = outgoing.instance.address
     data = context.targets.request(outgoing)
@@ -165,11 +165,11 @@
             data,
             connect_seconds=CONNECT_TIMEOUT_SECONDS,
             accepts=lambda head: context.targets.answers(outgoing, head),
-            most_open=_most_open(call, context),
-            most_idle=None if call.route.repeatable else _UNSAFE_MOST_IDLE,
+            most_open=_max_connections(call, context),
+            most_idle=None if call.route.repeatable else _NOT_REPEATABLE_MAX_IDLE_SECONDS,
         )
         call.trace.connection = "kept" if exchange.kept else "new"
-        # From here on the request may run, whatever becomes of this task.
+        # From here on the request may run, even if this task is cancelled.
         call.trace.unproved += 1
         head = await exchange.head()
     except ExchangeError as error:
@@ -188,14 +188,14 @@
         raise
     call.trace.framed = head.framed
     info = context.targets.response_info(outgoing, head)
-    served = not info.not_started and head.status < _FAILED
+    served = not info.not_started and head.status < _FIRST_SERVER_ERROR_STATUS
     context.notices.heard(
         outgoing.instance, info.notice, served_at=call.trace.sent_at if served else None
     )
     if not info.not_started:
         return exchange, head
     call.trace.unproved -= 1
-    await _drain(exchange)
+    await _read_rest(exchange)
     reason = _not_run_reason(info, outgoing)
     detail = f"target {outgoing.instance.name}: status {head.status}, not run"
     raise AttemptFailed(detail, reason=reason, reached=True, not_run=True)
@@ -209,15 +209,15 @@
     return "other-weights"
 
 
-def _most_open(call: Call, context: ServingContext) -> int | None:
-    """Return this node's part of the connections that a target takes from all callers."""
+def _max_connections(call: Call, context: ServingContext) -> int | None:
+    """Return this node's share of the connections that a target accepts, None for no limit."""
     if not call.service.connections:
         return None
-    return max(_LEAST_CONNECTIONS, call.service.connections // context.views.nodes)
+    return max(_MIN_CONNECTION_COUNT, call.service.connections // context.views.nodes)
 
 
-async def _drain(exchange: Exchange) -> None:
-    """Read the rest of a short answer, so that its connection can be used again."""
+async def _read_rest(exchange: Exchange) -> None:
+    """Read the rest of a short response, so that its connection can be reused."""
     try:
         async with asyncio.timeout(0.05):
             await exchange.body()
