--- a/packages/node/src/fielddrift_node/serving/directory.py
+++ b/packages/node/src/fielddrift_node/serving/directory.py
@@ -9,10 +9,10 @@
 from ..web.messages import Headers
 from ..web.server import Request, Responder
 
-__all__ = ["EntryAsk", "EntryDialect", "EntryHandler"]
+__all__ = ["EntryRequest", "EntryDialect", "EntryHandler"]
 
 
-class EntryAsk(NamedTuple):
+class EntryRequest(NamedTuple):
     """A caller's request for addresses; `data_centre` is the one it comes from."""
 
     data_centre: str
@@ -24,11 +24,11 @@
     resolve_path: str
     ready_path: str
 
-    def read(self, query: dict[str, list[str]]) -> EntryAsk:
+    def read(self, query: dict[str, list[str]]) -> EntryRequest:
         """Decode the query of a request."""
 
-    def answer(self, addresses: list[str], keep: float) -> bytes:
-        """Return the body of an answer that callers may cache for `keep` seconds."""
+    def answer(self, addresses: list[str], cache_seconds: float) -> bytes:
+        """Return the body of an answer that callers may cache for `cache_seconds` seconds."""
 
 
 class EntryHandler:
@@ -40,26 +40,26 @@
         dialect: EntryDialect,
         addresses: Callable[[str], list[str]],
         ready: Callable[[], bool],
-        keep: Callable[[], float],
+        cache_seconds: Callable[[], float],
     ) -> None:
         self._dialect = dialect
         self._addresses = addresses
-        self._ready = ready
-        self._keep = keep
+        self._is_ready = ready
+        self._cache_seconds = cache_seconds
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request."""
         path, _, query = request.head.target.decode("latin-1").partition("?")
         if path == self._dialect.ready_path:
-            responder.send(200 if self._ready() else 503, Headers(), b"")
+            responder.send(200 if self._is_ready() else 503, Headers(), b"")
             return
         if path != self._dialect.resolve_path:
             responder.send(404, Headers(), b"no such path")
             return
-        ask = self._dialect.read(parse_qs(query))
-        addresses = self._addresses(ask.data_centre)
+        entry_request = self._dialect.read(parse_qs(query))
+        addresses = self._addresses(entry_request.data_centre)
         if not addresses:
             responder.send(503, Headers(), b"no node is known to be ready")
             return
         headers = Headers([(b"Content-Type", b"application/json")])
-        responder.send(200, headers, self._dialect.answer(addresses, self._keep()))
+        responder.send(200, headers, self._dialect.answer(addresses, self._cache_seconds()))
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -207,7 +207,7 @@
                 data_centre, asyncio.get_running_loop().time()
             ),
             ready=lambda: self._serving,
-            keep=self._entry_cache,
+            cache_seconds=self._entry_cache,
         )
         self._directory_server = Server(handler=directory.handle, limits=Limits)
         self._peer_server = Server(handler=PeerHandler(views=self._views).handle, limits=Limits)
