--- a/packages/node/src/fielddrift_node/serving/feeds.py
+++ b/packages/node/src/fielddrift_node/serving/feeds.py
@@ -25,7 +25,7 @@
 )
 
 from .ports import Platform
-from .sharing import Peers
+from .sharing import PeerClient
 from .views import Views
 
 __all__ = ["Backoff", "Feed", "FeedTools"]
@@ -84,7 +84,7 @@
     """Dependencies that both feeds share."""
 
     platform: Platform
-    peers: Peers
+    peers: PeerClient
     neighbours: Neighbours
     views: Views
     rng: random.Random
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -34,7 +34,7 @@
 from .rollout_runner import RolloutRunner
 from .send_gate import SendGate
 from .settings import NodeSettings
-from .sharing import PeerHandler, Peers
+from .sharing import PeerClient, PeerHandler
 from .store_tracker import StoreTracker
 from .target_feed import TargetFeed
 from .views import PAUSE_SECONDS, Views
@@ -133,7 +133,7 @@
             rng=rng,
         )
         self._peer_client = Client()
-        peers = Peers(client=self._peer_client)
+        peers = PeerClient(client=self._peer_client)
         feed_tools = FeedTools(
             platform, peers, self._neighbours, self._views, rng, settings.bounds.staleness
         )
--- a/packages/node/src/fielddrift_node/serving/sharing.py
+++ b/packages/node/src/fielddrift_node/serving/sharing.py
@@ -1,7 +1,6 @@
-"""Hand views on between the nodes of a data centre.
+"""Copy views between nodes over HTTP on their peer addresses.
 
-A node tells in its heartbeats how far it has read; another that relies on it
-fetches what is new over the peers' address.
+Heartbeats report how far a node has read. A node that copies from it then requests what is new.
 """
 
 from __future__ import annotations
@@ -26,18 +25,25 @@
 from .ports import RemoteCallError
 from .views import Views
 
-__all__ = ["KeptAsk", "KeptCopy", "OperatorCopy", "PeerHandler", "Peers", "TargetCopy"]
-
-_FETCH = Timeouts(connect=0.2, whole=0.5)
-"""A fetch within a data centre takes some ms."""
+__all__ = [
+    "StoreCopyRequest",
+    "StoreCopy",
+    "OperatorCopy",
+    "PeerHandler",
+    "PeerClient",
+    "TargetCopy",
+]
+
+_TIMEOUTS = Timeouts(connect=0.2, whole=0.5)
+"""A request within a data centre takes some ms."""
 _T = TypeVar("_T")
 _log = structlog.get_logger()
 
 
 class OperatorCopy(NamedTuple):
-    """What a node has of the operators' rows, as of row version `row`.
+    """A node's copy of the operators' rows, as of row version `row`.
 
-    The release before knows no `evacuations`: None says that nothing is known of them.
+    Nodes of the previous release do not send `evacuations`; None means that they are unknown.
     """
 
     catalog: Catalog | None
@@ -46,25 +52,25 @@
     evacuations: EvacuationState | None = None
 
 
-_FORMER_FIELDS, _FORMER_SERVICE_FIELDS = 3, 5
-"""Fields of an `OperatorCopy`, and of a `Service` in it, that the release before knows."""
+_PREVIOUS_FIELD_COUNT, _PREVIOUS_SERVICE_FIELD_COUNT = 3, 5
+"""Number of fields of `OperatorCopy`, and of a `Service` in it, in the previous release."""
 
 
-def _former(copy: OperatorCopy) -> tuple[object, ...]:
-    """Return `copy` as the release before understands it, which refuses longer arrays."""
+def _for_previous_release(copy: OperatorCopy) -> tuple[object, ...]:
+    """Return `copy` for a node of the previous release, which rejects arrays with more fields."""
     catalog: object = copy.catalog
     if copy.catalog is not None:
         services = copy.catalog.services.items()
-        former = {name: service[:_FORMER_SERVICE_FIELDS] for name, service in services}
-        catalog = (*copy.catalog[:2], former, *copy.catalog[3:])
-    return (catalog, *copy[1:_FORMER_FIELDS])
+        shortened = {name: service[:_PREVIOUS_SERVICE_FIELD_COUNT] for name, service in services}
+        catalog = (*copy.catalog[:2], shortened, *copy.catalog[3:])
+    return (catalog, *copy[1:_PREVIOUS_FIELD_COUNT])
 
 
 class TargetCopy(NamedTuple):
-    """What a node has of the targets, as of row version `row`.
+    """A node's copy of the target entries, as of row version `row`.
 
-    `lapsed` gives the seconds for which it still holds entries that ended unseen
-    while the store gave it no answer.
+    `lapsed` maps targets, whose entries expired while the store did not answer, to the seconds for
+    which the node still uses them.
     """
 
     entries: tuple[Instance, ...]
@@ -74,19 +80,19 @@
     lapsed: dict[str, float] = {}
 
 
-class KeptAsk(NamedTuple):
-    """How far a node has copied a store host; `life` None when it has nothing."""
+class StoreCopyRequest(NamedTuple):
+    """How far a node has copied a store host's view; `life` is None if it has no copy."""
 
     store: str
     life: int | None
     following: int
 
 
-class KeptCopy(NamedTuple):
-    """What a node has of a store host: `changes` since the number asked from.
+class StoreCopy(NamedTuple):
+    """A node's copy of a store host's view: the `changes` since the requested number.
 
-    `held` is everything, as (salt, part, tokens), where the changes are not
-    known; else None.  `clock` is the engines' clock in ms when it was given.
+    `held` lists all parts as (salt, part, tokens) if the changes are not known, else it is None.
+    `clock` is the engines' clock in ms at the time of the answer.
     """
 
     store: str
@@ -98,7 +104,7 @@
 
 
 class PeerHandler:
-    """Answer other nodes that ask for views."""
+    """Answers the requests of other nodes for views."""
 
     def __init__(self, *, views: Views) -> None:
         self._views = views
@@ -107,25 +113,25 @@
             "/views/targets": self._targets,
             "/views/kept": self._kept,
         }
-        """Questions of the release before have no `marks`: it knows no eras."""
+        """Requests of the previous release have no `marks` parameter, as it does not know eras."""
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one question."""
+        """Answer one request."""
         path, _, query = request.head.target.decode("latin-1").partition("?")
         answer = self._answers.get(path)
         if answer is None:
             responder.send(404, Headers(), f"{path}: no such view".encode())
             return
         try:
-            found = answer(parse_qs(query).get("of", []))
-            if "marks" not in query and isinstance(found, OperatorCopy | TargetCopy):
-                found = found._replace(row=version_of(found.row))
-            if "evacuations" not in query and isinstance(found, OperatorCopy):
-                found = _former(found)
+            view = answer(parse_qs(query).get("of", []))
+            if "marks" not in query and isinstance(view, OperatorCopy | TargetCopy):
+                view = view._replace(row=version_of(view.row))
+            if "evacuations" not in query and isinstance(view, OperatorCopy):
+                view = _for_previous_release(view)
         except ValueError as error:
             responder.send(400, Headers(), str(error).encode())
             return
-        responder.send(200, Headers(), msgspec.msgpack.encode(found))
+        responder.send(200, Headers(), msgspec.msgpack.encode(view))
 
     def _operators(self, _: list[str]) -> OperatorCopy:
         views = self._views
@@ -142,62 +148,62 @@
             lapsed=registry.lapsed(asyncio.get_running_loop().time()),
         )
 
-    def _kept(self, asked: list[str]) -> list[KeptCopy]:
+    def _kept(self, requests: list[str]) -> list[StoreCopy]:
         clock = self._views.until(asyncio.get_running_loop().time())
-        copies = [self._kept_copy(_kept_ask(text), clock) for text in asked]
+        copies = [self._store_copy(_parse_store_request(text), clock) for text in requests]
         return [copy for copy in copies if copy is not None]
 
-    def _kept_copy(self, ask: KeptAsk, clock: int | None) -> KeptCopy | None:
-        view = self._views.store_index.view(ask.store)
+    def _store_copy(self, request: StoreCopyRequest, clock: int | None) -> StoreCopy | None:
+        view = self._views.store_index.view(request.store)
         if view is None or view.life is None:
             return None
-        copy = KeptCopy(ask.store, view.life, view.following, clock)
-        changes = view.changes_since(ask.following) if ask.life == view.life else None
+        copy = StoreCopy(request.store, view.life, view.following, clock)
+        changes = view.changes_since(request.following) if request.life == view.life else None
         if changes is not None:
             return copy._replace(changes=changes)
         held = tuple((salt, part, tokens) for (salt, part), tokens in view.held.items())
         return copy._replace(held=held)
 
 
-def _kept_ask(text: str) -> KeptAsk:
-    """Return the question in `text`; raise `ValueError` when it is none."""
+def _parse_store_request(text: str) -> StoreCopyRequest:
+    """Parse a request for a store's view; raise `ValueError` if `text` is malformed."""
     fields = text.split("/")
     if len(fields) != 3:
         raise ValueError(f"{text!r}: expected STORE/LIFE/NUMBER")
     store, life, following = fields
-    return KeptAsk(store, int(life) if life else None, int(following))
+    return StoreCopyRequest(store, int(life) if life else None, int(following))
 
 
-def _kept_text(ask: KeptAsk) -> str:
-    return f"{ask.store}/{'' if ask.life is None else ask.life}/{ask.following}"
+def _format_store_request(request: StoreCopyRequest) -> str:
+    return f"{request.store}/{'' if request.life is None else request.life}/{request.following}"
 
 
-class Peers:
-    """Ask other nodes for views; raise `RemoteCallError`."""
+class PeerClient:
+    """Requests views from other nodes; all methods raise `RemoteCallError`."""
 
     def __init__(self, *, client: Client) -> None:
         self._client = client
 
     async def operators(self, node: Neighbour) -> OperatorCopy:
-        """Return what `node` has of the operators' rows."""
+        """Return the operators' rows of `node`."""
         return await self._get(node, "/views/operators?marks=era&evacuations=all", OperatorCopy)
 
     async def targets(self, node: Neighbour) -> TargetCopy:
-        """Return what `node` has of the targets."""
+        """Return the target entries of `node`."""
         return await self._get(node, "/views/targets?marks=era", TargetCopy)
 
-    async def kept(self, node: Neighbour, asked: Sequence[KeptAsk]) -> list[KeptCopy]:
-        """Return what `node` has of the store hosts that are asked for, as far as it knows."""
-        query = urlencode([("of", _kept_text(ask)) for ask in asked])
-        return await self._get(node, f"/views/kept?{query}", list[KeptCopy])
+    async def kept(self, node: Neighbour, requests: Sequence[StoreCopyRequest]) -> list[StoreCopy]:
+        """Return the requested store views, as far as `node` has them."""
+        query = urlencode([("of", _format_store_request(request)) for request in requests])
+        return await self._get(node, f"/views/kept?{query}", list[StoreCopy])
 
     async def _get(self, node: Neighbour, path: str, kind: type[_T]) -> _T:
         request = f"GET {path} HTTP/1.1\r\nHost: {node.peer}\r\n\r\n".encode("ascii")
         try:
-            reply = await self._client.call(node.peer, request, timeouts=_FETCH)
+            reply = await self._client.call(node.peer, request, timeouts=_TIMEOUTS)
         except ExchangeError as error:
             if error.reason == "timeout":
-                # Paths fall silent together: the next neighbour is asked over a new connection.
+                # Connections often fail together, so the next node is asked over a new connection.
                 self._client.close()
             raise RemoteCallError(f"node {node.name}: {error}") from None
         if reply.head.status != 200:
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -16,7 +16,7 @@
 from .kept import salt_of
 from .metrics import Metrics
 from .ports import RemoteCallError, TargetDialect
-from .sharing import KeptAsk, KeptCopy, Peers
+from .sharing import PeerClient, StoreCopy, StoreCopyRequest
 from .views import FETCH_SECONDS, Views
 
 __all__ = ["StoreTracker"]
@@ -57,7 +57,7 @@
         views: Views,
         targets: TargetDialect,
         neighbours: Neighbours,
-        peers: Peers,
+        peers: PeerClient,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
@@ -208,7 +208,7 @@
     async def _copy(self, now: float) -> None:
         """Have what changed from the nodes that hear the stores."""
         marks = self._neighbours.kept(now)
-        asked: dict[str, list[KeptAsk]] = {}
+        asked: dict[str, list[StoreCopyRequest]] = {}
         for view in self._views.store_index.views:
             store = view.traits.address
             source = self._sources.get(store)
@@ -217,11 +217,13 @@
             view.received_at = float("-inf")
             mark = marks.get(source, {}).get(store)
             if mark is None or view.is_behind(mark.life, mark.following):
-                asked.setdefault(source, []).append(KeptAsk(store, view.life, view.following))
+                asked.setdefault(source, []).append(
+                    StoreCopyRequest(store, view.life, view.following)
+                )
         for source, questions in asked.items():
             await self._copy_from(source, questions)
 
-    async def _copy_from(self, source: str, questions: list[KeptAsk]) -> None:
+    async def _copy_from(self, source: str, questions: list[StoreCopyRequest]) -> None:
         node = self._neighbours.node(source)
         if node is None:
             return
@@ -234,7 +236,7 @@
         for copy in copies:
             self._take(copy)
 
-    def _take(self, copy: KeptCopy) -> None:
+    def _take(self, copy: StoreCopy) -> None:
         view = self._views.store_index.view(copy.store)
         if view is None or copy.store in self._loops:
             return
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -13,7 +13,7 @@
 from fielddrift_core.evacuations import EvacuationChanges, Evacuations, EvacuationState
 from fielddrift_core.target_registry import Instance, TargetRegistry
 from fielddrift_node.serving.feeds import Feed
-from fielddrift_node.serving.sharing import OperatorCopy, Peers
+from fielddrift_node.serving.sharing import OperatorCopy, PeerClient
 from fielddrift_node.web.client import Client, Timeouts
 from fielddrift_standins.worker import Worker
 
@@ -286,7 +286,7 @@
         reply = await client.call(node.settings.peer, request, timeouts=Timeouts())
         copy = msgspec.msgpack.decode(reply.body, type=_FormerCopy)
         self.assertEqual(set(copy.catalog.services), {"plain", "engines", "kept"})
-        now = await Peers(client=client).operators(node.node._neighbours.me)
+        now = await PeerClient(client=client).operators(node.node._neighbours.me)
         self.assertEqual(now.evacuations, EvacuationState())
         client.close()
 
--- a/tests/test_operator_feed.py
+++ b/tests/test_operator_feed.py
@@ -12,7 +12,7 @@
 from fielddrift_node.serving.feeds import FeedTools
 from fielddrift_node.serving.operator_feed import OperatorFeed
 from fielddrift_node.serving.ports import NamedWeights, OperatorChanges, RemoteCallError
-from fielddrift_node.serving.sharing import OperatorCopy, PeerHandler, Peers
+from fielddrift_node.serving.sharing import OperatorCopy, PeerClient, PeerHandler
 from fielddrift_node.serving.views import Views
 from fielddrift_node.web.client import Client
 from fielddrift_node.web.server import Limits, Server
@@ -146,7 +146,7 @@
             await relay.start(HOST, int(peer.split(":")[1]))
             self.nodes.append(neighbour(f"n{number}")._replace(peer=peer))
         self.client = Client()
-        self.peers = Peers(client=self.client)
+        self.peers = PeerClient(client=self.client)
 
     async def asyncTearDown(self) -> None:
         self.client.close()
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -12,7 +12,7 @@
 from fielddrift_core.readers import ReadState
 from fielddrift_core.target_registry import Instance
 from fielddrift_node.serving.ports import RemoteCallError
-from fielddrift_node.serving.sharing import Peers, TargetCopy
+from fielddrift_node.serving.sharing import PeerClient, TargetCopy
 from fielddrift_node.web.client import Reply
 
 
@@ -74,7 +74,7 @@
         client = mock.Mock()
         client.call = mock.AsyncMock(return_value=Reply(mock.Mock(status=200), longer))
         with self.assertRaisesRegex(RemoteCallError, "not understood"):
-            asyncio.run(Peers(client=client).targets(_ME))
+            asyncio.run(PeerClient(client=client).targets(_ME))
 
     def test_a_new_node_understands_a_former_one(self) -> None:
         former = _former_heartbeat()
--- a/tests/test_store_view_walk.py
+++ b/tests/test_store_view_walk.py
@@ -9,7 +9,7 @@
 
 from fielddrift_core.catalog import StoreTraits
 from fielddrift_core.store_index import KeptChange, StoreView
-from fielddrift_node.serving.sharing import KeptAsk, PeerHandler
+from fielddrift_node.serving.sharing import PeerHandler, StoreCopyRequest
 from fielddrift_node.serving.store_tracker import StoreTracker
 from fielddrift_node.serving.views import Views
 
@@ -107,7 +107,7 @@
         """Let a node copy from another, whose answer may be old by the time it is taken."""
         source, copier = self.rng.sample(self.nodes, k=2)
         view = copier.view
-        ask = KeptAsk(STORE.address, view.life, view.following)
+        ask = StoreCopyRequest(STORE.address, view.life, view.following)
         copy = source.handler._kept_copy(ask, None)
         if self.rng.random() < 0.3:
             self.rng.choice([self.keep, self.hear])()
