--- a/bench/choice.py
+++ b/bench/choice.py
@@ -156,7 +156,7 @@
             send_update=lambda update, nodes: None,
         ),
         gate=SendGate(views=views, neighbours=neighbours, bounds=BOUNDS),
-        notices=NoticeHandler(views=views, changed=lambda: None),
+        notices=NoticeHandler(views=views, on_change=lambda: None),
     )
     request = Request(RequestHead(b"POST", b"/", Headers(), True), b"", loop.time())
     parsed = ParsedRequest("id", "h", "/", "", 4.0, _PROMPT, "", request)
--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -115,7 +115,7 @@
             on_load_change=self.gossip.schedule_load_update,
             crashes=crashes,
             gate=SendGate(views=self.views, neighbours=self.neighbours, bounds=BOUNDS),
-            notices=NoticeHandler(views=self.views, changed=self.gossip.schedule_load_update),
+            notices=NoticeHandler(views=self.views, on_change=self.gossip.schedule_load_update),
         )
         self.gateway = Gateway(context=context)
         self._tasks = [loop.create_task(self.gossip.run()), loop.create_task(self._tick())]
--- a/packages/node/src/fielddrift_node/serving/begin_watch.py
+++ b/packages/node/src/fielddrift_node/serving/begin_watch.py
@@ -37,7 +37,7 @@
         return self._expired
 
     @contextmanager
-    def applied_to(self, limit: asyncio.Timeout) -> Iterator[None]:
+    def over(self, limit: asyncio.Timeout) -> Iterator[None]:
         """Make `limit` expire as soon as the send must not start any more."""
         self._check(limit)
         try:
--- a/packages/node/src/fielddrift_node/serving/cold_gate.py
+++ b/packages/node/src/fielddrift_node/serving/cold_gate.py
@@ -1,4 +1,4 @@
-"""Keep what this node sends to cold targets within its part of what they bear."""
+"""Limit what this node sends to cold targets to its share of their capacity."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ColdGate:
-    """Say whether a target may be sent to, and count what was sent to it."""
+    """Decides whether a cold target may be sent to, and counts the sends to it."""
 
     def __init__(self, *, views: Views, neighbours: Neighbours, bounds: Bounds) -> None:
         self._views = views
@@ -29,13 +29,14 @@
         if service.cold_rate <= 0 or not cold.is_cold(instance.name, now):
             return True
         me = self._neighbours.me
-        # Whom other data centres have active is not known here, so they leave it to the near ones.
+        # The active nodes of other data centres are unknown here, so only nodes in the target's
+        # data centre send to a cold target.
         if instance.data_centre != me.data_centre:
             return False
         if not knows_active_nodes(self._views, self._neighbours, now):
             return False
         nodes = self._neighbours.recently_active(now)
-        sends = self._share.sends(instance.name, nodes, self._bound(service), now)
+        sends = self._share.sends(instance.name, nodes, self._max_rate(service), now)
         return cold.has_room(instance.name, sends, now)
 
     def sent(self, instance: Instance, now: float) -> None:
@@ -43,6 +44,6 @@
         if self._views.cold.is_cold(instance.name, now):
             self._views.cold.sent(instance.name, now)
 
-    def _bound(self, service: Service) -> float:
-        """Return the most requests that a cold target gets within a second, from all nodes."""
+    def _max_rate(self, service: Service) -> float:
+        """Return the maximum requests per second that a cold target gets from all nodes."""
         return service.cold_rate * self._bounds.cold_overage + self._bounds.cold_slack
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -138,7 +138,7 @@
             async with asyncio.timeout(
                 self._first_event_timeout(call, choice) if may_retry else None
             ) as limit:
-                with weights_timeout.applied_to(limit):
+                with weights_timeout.over(limit):
                     exchange, head = await send_once(context, outgoing, call)
                     first = await self._read_first_events(exchange, head, framer)
             ok = True
@@ -251,7 +251,7 @@
         attempts.failed(failure)
         if not framer.resumable:
             # Resuming after the last id, or from the start, would repeat events to the caller.
-            raise attempts.exhausted("events without an id cannot be resumed")
+            raise attempts.exhausted("a run that sends events without an id cannot be resumed")
         return False
 
     def _gap_timeout(self, call: Call) -> float:
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -171,7 +171,7 @@
             era_since=lambda: self._era_since,
         )
         notices = NoticeHandler(
-            views=self._views, changed=lambda: self._gossip.schedule_update(Scope.ALL)
+            views=self._views, on_change=lambda: self._gossip.schedule_update(Scope.ALL)
         )
         self._rollout_runner = RolloutRunner(
             views=self._views,
--- a/packages/node/src/fielddrift_node/serving/notices.py
+++ b/packages/node/src/fielddrift_node/serving/notices.py
@@ -1,4 +1,4 @@
-"""Take what targets say of themselves in answers, whichever call they answer."""
+"""Handle the notices about themselves that targets send in responses to any kind of call."""
 
 from __future__ import annotations
 
@@ -17,48 +17,53 @@
 
 
 class NoticeHandler:
-    """Note what targets say; `changed` is called when other nodes should hear of it soon."""
+    """Records the notices of targets.
 
-    def __init__(self, *, views: Views, changed: Callable[[], None]) -> None:
+    `on_change` is called when other nodes should be informed soon.
+    """
+
+    def __init__(self, *, views: Views, on_change: Callable[[], None]) -> None:
         self._views = views
-        self._changed = changed
+        self._on_change = on_change
 
     def heard(
         self, instance: Instance, notice: TargetNotice, *, served_at: float | None = None
     ) -> None:
-        """Take what a target said of itself in an answer.
+        """Record the notice of a target in a response.
 
-        `served_at` is the loop time at which the request was sent that it served, None for
-        an answer that does not end a limit: a refusal, a report, an order's.
+        `served_at` is the loop time at which the served request was sent.  It is None for a
+        response that does not end a limit: a refusal, or the response to a report or an order.
         """
         now = asyncio.get_running_loop().time()
         if notice.leaving:
-            self._leaves(instance)
-        self._limits(instance.name, notice.limit, served_at, now)
+            self._record_leaving(instance)
+        self._update_limit(instance.name, notice.limit, served_at, now)
         if notice.pause > 0 and self._views.pauses.asked(instance.name, notice.pause, now):
             _log.info("target asks for a pause", target=instance.name, seconds=notice.pause)
 
-    def _limits(self, name: str, rate: float | None, served_at: float | None, now: float) -> None:
+    def _update_limit(
+        self, name: str, rate: float | None, served_at: float | None, now: float
+    ) -> None:
         limits = self._views.limits
         if rate is not None:
-            changed = limits.named(name, rate, now)
+            has_changed = limits.named(name, rate, now)
         else:
-            changed = served_at is not None and limits.unnamed(name, sent_at=served_at, now=now)
-        if changed:
+            has_changed = served_at is not None and limits.unnamed(name, sent_at=served_at, now=now)
+        if has_changed:
             log_limit(name, rate, "itself")
-            self._changed()
+            self._on_change()
 
-    def _leaves(self, instance: Instance) -> None:
+    def _record_leaving(self, instance: Instance) -> None:
         registry = self._views.registry
-        known = instance.name in registry.leaving()
+        was_leaving = instance.name in registry.leaving()
         registry.left(instance.name)
-        if not known and registry.get(instance.name) is not None:
+        if not was_leaving and registry.get(instance.name) is not None:
             _log.info("target leaving", target=instance.name, told_by="itself")
-            self._changed()
+            self._on_change()
 
 
 def log_limit(target: str, rate: float | None, told_by: str) -> None:
-    """Log that a target names another limit, None for none any more."""
+    """Log that a target announced another limit in requests per second, None for no limit."""
     if rate is None:
         _log.info("target limited no longer", target=target, told_by=told_by)
     else:
--- a/packages/node/src/fielddrift_node/serving/owners.py
+++ b/packages/node/src/fielddrift_node/serving/owners.py
@@ -1,4 +1,4 @@
-"""Know whether this node can tell who shares what a target bears."""
+"""Decide whether this node knows the active nodes that share a target's capacity."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 __all__ = ["knows_active_nodes"]
 
-_SETTLE_SECONDS = 1.1
-"""Age from which a node uses its part: until it has heard who else is active, it would
-take itself for the only owner."""
+_DISCOVERY_SECONDS = 1.1
+"""Age of a node from which it uses its share: before it has discovered the other active nodes,
+it would use the whole capacity."""
 
 
 def knows_active_nodes(views: Views, neighbours: Neighbours, now: float) -> bool:
-    """Return whether this node knows who was active of late, also of those it cannot hear."""
-    return views.age(now) >= _SETTLE_SECONDS and neighbours.had_recent_quorum(now)
+    """Return whether this node knows the recently active nodes, including unreachable ones."""
+    return views.age(now) >= _DISCOVERY_SECONDS and neighbours.had_recent_quorum(now)
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -116,12 +116,12 @@
         """
         now = asyncio.get_running_loop().time()
         serving = self._context.views.registry.serving(call.service.name)
-        send_wait = self._context.gate.shortest_wait(serving, now)
-        if send_wait is None:
+        closed = self._context.gate.shortest_wait(serving, now)
+        if closed is None:
             retry_after = retry_delay(time_left=call.deadline - now, rng=self._context.rng)
-            detail = "no engine accepts requests from this node"
+            detail = "no engine takes requests of this node"
             raise Refused(Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, retry_after, "closed"))
-        return send_wait
+        return closed
 
     def _admit(self, call: Call, choice: EngineChoice, wait: float) -> None:
         """Raise `Refused` if even the best engine would respond too late because of load.
--- a/packages/node/src/fielddrift_node/serving/send_gate.py
+++ b/packages/node/src/fielddrift_node/serving/send_gate.py
@@ -1,4 +1,4 @@
-"""Say which targets this node may send to now, by what they say of themselves."""
+"""Decide which targets this node may send to now, based on what they report about themselves."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SendGate:
-    """What every sender of requests asks, and tells what it sends."""
+    """Combines the rules for cold, limited and paused targets; sends are recorded here."""
 
     def __init__(self, *, views: Views, neighbours: Neighbours, bounds: Bounds) -> None:
         self._views = views
@@ -27,9 +27,9 @@
 
     def allows(self, service: Service, instance: Instance, now: float) -> bool:
         """Return whether this node may send to `instance`, which is of `service`, now."""
-        # A choice asks this of every engine: it must cost little where none has said anything.
-        spoke = self._views.limits or self._views.pauses
-        if spoke and self._wait(instance, now) > 0:
+        # Called for every engine in each choice, so the usual case, no limits, must be cheap.
+        restricted = self._views.limits or self._views.pauses
+        if restricted and self._wait(instance, now) > 0:
             return False
         return self._cold.allows(service, instance, now)
 
@@ -39,7 +39,7 @@
         self._limits.sent(instance, now)
 
     def shortest_wait(self, instances: Iterable[Instance], now: float) -> float | None:
-        """Return the seconds until one of `instances` may be sent to, None where none is known."""
+        """Return the seconds until one of `instances` may be sent to, None if that is unknown."""
         waits = [self._wait(instance, now) for instance in instances]
         return min((wait for wait in waits if math.isfinite(wait)), default=None)
 
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -67,7 +67,7 @@
     def begin(self, instance: Instance) -> None:
         """Record a send to a target.
 
-        Raise `Refused` if the retry budget is exhausted or the request is held back.
+        Raise `Refused` if the budget for repeated sends is exhausted or the request is held back.
         """
         # The request may have crashed targets since it arrived, also at other nodes.
         self._context.crashes.record_send(self._call)
@@ -76,7 +76,7 @@
         if self._reached == 0:
             budget.record_first(now)
         elif not budget.spend(now, nodes=self._context.views.nodes):
-            raise Refused(self._refusal("the retry budget is exhausted", None))
+            raise Refused(self._refusal("the budget for repeated sends is exhausted", None))
         self._context.gate.sent(instance, now)
         self._context.metrics.sends.inc()
         self._instance = instance
--- a/tests/test_begin_watch.py
+++ b/tests/test_begin_watch.py
@@ -32,7 +32,7 @@
         watch = StaleWeightsTimeout(views=views, model="m", weights=1, bound=bound)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(_PATIENCE) as limit:
-                with watch.applied_to(limit):
+                with watch.over(limit):
                     await asyncio.sleep(60.0)
         return watch.expired
 
