--- a/packages/core/src/fielddrift_core/admission.py
+++ b/packages/core/src/fielddrift_core/admission.py
@@ -1,10 +1,9 @@
-"""Decide whether a request is taken, and when a refused caller should return.
+"""Decide whether a request is admitted, and when a refused caller should retry.
 
-While there is room everyone is taken.  When the estimated wait grows, the
-customers above their weighted share are refused first; a request whose
-deadline the estimate passes is refused at once.  Come-back times are handed
-out one after the other, at the rate at which room appears, so that those who
-were refused together do not return together.
+While there is capacity, every request is admitted.  When the estimated wait grows, customers
+above their weighted share are refused first.  A request whose estimated first token is too
+late for its limit is refused at once.  Retry times are assigned one after the other, at the
+rate at which capacity becomes free, so that callers refused together do not retry together.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 class _Usage:
-    """A customer's recent use: tokens, fading with time."""
+    """A customer's recent usage in tokens, with exponential decay."""
 
     __slots__ = ("amount", "at", "share")
 
@@ -43,7 +42,7 @@
 
 
 class Admission:
-    """Admit by deadline and by weighted fair share.  Not safe for threads."""
+    """Admit requests by deadline and by weighted fair share.  Not thread-safe."""
 
     def __init__(self) -> None:
         self._usages: dict[str, _Usage] = {}
@@ -62,15 +61,16 @@
         now: float,
         is_retry: bool = False,
     ) -> Refusal | None:
-        """Return None to admit, or the refusal.
+        """Return None to admit the request, or the refusal.
 
-        `patience` is the seconds in which the first token must come, `ttft`
-        and `wait` the estimates, `room_rate` the tokens a second for which
-        room appears.  Whoever is `returning` at the time it was told goes
-        before newcomers: more of the patience may be used up for it.
+        `ttft_limit` is the seconds within which the first token must arrive, `ttft` and
+        `wait` are the estimates in seconds, and `capacity_rate` is the rate in tokens per
+        second at which capacity becomes free.  `is_retry` says that the caller retries at
+        the time it was given; it has priority over new callers, since its estimate may use
+        a larger fraction of the limit.
         """
-        use = self._usages.setdefault(customer, _Usage())
-        use.share = share
+        usage = self._usages.setdefault(customer, _Usage())
+        usage.share = share
         if ttft > (RETRY_TTFT_FRACTION if is_retry else TTFT_LIMIT_FRACTION) * ttft_limit:
             detail = f"first token estimated in {ttft:.2f} s, wanted within {ttft_limit:.2f} s"
             kind = ErrorKind.OVERLOADED if wait > 0 else ErrorKind.DEADLINE
@@ -81,30 +81,30 @@
             detail = f"customer {customer!r}: over its share while targets are busy"
             after = self._retry_after(wait, tokens, capacity_rate, now)
             return Refusal(ErrorKind.OVER_SHARE, detail, Ran.NO, after)
-        use.add(tokens, now)
+        usage.add(tokens, now)
         return None
 
     def usage_fractions(self, customer: str, now: float) -> tuple[float, float]:
-        """Return a customer's part of recent use, and its fair part of it."""
+        """Return a customer's fraction of all recent usage, and its fair fraction of it."""
         self._drop_idle(now)
-        total = sum(use.decayed(now) for use in self._usages.values())
-        shares = sum(use.share for use in self._usages.values())
-        use = self._usages.get(customer)
-        if use is None or total <= 0:
+        total = sum(usage.decayed(now) for usage in self._usages.values())
+        shares = sum(usage.share for usage in self._usages.values())
+        usage = self._usages.get(customer)
+        if usage is None or total <= 0:
             return 0.0, 1.0
-        return use.decayed(now) / total, use.share / shares
+        return usage.decayed(now) / total, usage.share / shares
 
     def _over_share(self, customer: str, now: float) -> bool:
         used, fair = self.usage_fractions(customer, now)
         return used > _OVER_SHARE_FACTOR * fair and fair < 1.0
 
     def _drop_idle(self, now: float) -> None:
-        idle = [c for c, use in self._usages.items() if use.decayed(now) < 1 and use.at < now]
+        idle = [c for c, usage in self._usages.items() if usage.decayed(now) < 1 and usage.at < now]
         for customer in idle:
             del self._usages[customer]
 
     def _retry_after(self, wait: float, tokens: int, capacity_rate: float, now: float) -> float:
-        # The next return is booked behind the ones already handed out.
-        first = now + max(wait, _MIN_RETRY_AFTER_SECONDS)
-        self._next_retry_at = max(self._next_retry_at, first) + tokens / max(capacity_rate, 1.0)
+        # Each retry time follows those already assigned.
+        earliest = now + max(wait, _MIN_RETRY_AFTER_SECONDS)
+        self._next_retry_at = max(self._next_retry_at, earliest) + tokens / max(capacity_rate, 1.0)
         return min(self._next_retry_at - now, _MAX_RETRY_AFTER_SECONDS)
--- a/packages/core/src/fielddrift_core/holding.py
+++ b/packages/core/src/fielddrift_core/holding.py
@@ -1,8 +1,8 @@
-"""Decide which kept prefixes are worth their bytes.
+"""Decide which stored prefixes are worth the space that they take.
 
-The value of a byte is the chance of a return within the rule's time, times
-the cost to rebuild, over the bytes held.  What is worth least goes first:
-from memory to disk, from disk away.
+The value of a byte is the probability of reuse within the rule's time, multiplied by the cost
+of recomputing the prefix, divided by its size.  The prefixes of the lowest value are evicted
+first, from memory to disk and from disk altogether.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 
 
 class StoredPrefix(NamedTuple):
-    """A kept prefix as its store host lists it; `idle` is seconds since its last use."""
+    """A stored prefix as listed by its store host.
+
+    `size` is in bytes, `idle` is the seconds since its last use, `tier` memory or disk.
+    """
 
     path: str
     attempt: str
@@ -34,7 +37,7 @@
 
 
 class TierPlan(NamedTuple):
-    """What a store host should do: move to disk, move to memory, free."""
+    """What a store host should move to disk, move to memory, and free."""
 
     demote: tuple[StoredPrefix, ...] = ()
     promote: tuple[StoredPrefix, ...] = ()
@@ -42,10 +45,10 @@
 
 
 def value(held: StoredPrefix, rule: HoldRule, week_second: float) -> float:
-    """Return the worth of one byte of `held`, in blocks saved a byte.
+    """Return the value of one byte of `held`, in expected blocks saved per byte.
 
-    The chance falls evenly to nothing over the rule's time; ahead of a known
-    rush it is the rule's whole chance, however long the prefix was idle.
+    The probability of reuse falls linearly to 0 over the rule's time.  Shortly before the
+    rule's known rush it is the rule's full probability, however long the prefix was idle.
     """
     chance = rule.chance * max(0.0, 1.0 - held.idle / rule.seconds)
     if rush_is_near(rule, week_second):
@@ -54,14 +57,17 @@
 
 
 def rush_is_near(rule: HoldRule, week_second: float) -> bool:
-    """Return whether the rule's known rush starts soon."""
+    """Return whether the known rush of `rule`, if any, starts soon.
+
+    `week_second` is the current time in seconds since the start of the week.
+    """
     if rule.rush is None:
         return False
     return (rule.rush - week_second) % WEEK_SECONDS <= RUSH_LEAD_SECONDS
 
 
 def should_export(*, rule: HoldRule | None, blocks: int, kept: int) -> bool:
-    """Return whether a prompt of `blocks`, `kept` of them kept, is worth an export."""
+    """Return whether a prompt of `blocks`, of which `kept` are stored, is worth an export."""
     if (rule or DEFAULT_RULE).chance <= 0 or blocks == 0:
         return False
     return kept < blocks * 0.8
@@ -75,14 +81,17 @@
     disk: int,
     week_second: float,
 ) -> TierPlan:
-    """Return what to move and free so that both tiers stay under their marks."""
-    worth = {h.path: value(h, rules.get(h.customer, DEFAULT_RULE), week_second) for h in held}
-    ranked = sorted(held, key=lambda h: (worth[h.path], h.path))
-    free = [h for h in ranked if worth[h.path] <= 0]
-    rest = [h for h in ranked if worth[h.path] > 0]
+    """Return what to move and free so that both tiers stay below their high watermarks.
+
+    `memory` and `disk` are the capacities of the tiers in bytes, `rules` is by customer.
+    """
+    values = {h.path: value(h, rules.get(h.customer, DEFAULT_RULE), week_second) for h in held}
+    ranked = sorted(held, key=lambda h: (values[h.path], h.path))
+    free = [h for h in ranked if values[h.path] <= 0]
+    rest = [h for h in ranked if values[h.path] > 0]
     demote = _overflow([h for h in rest if h.tier == "memory"], memory)
     on_disk = sorted(
-        [h for h in rest if h.tier == "disk"] + demote, key=lambda h: (worth[h.path], h.path)
+        [h for h in rest if h.tier == "disk"] + demote, key=lambda h: (values[h.path], h.path)
     )
     free += _overflow(on_disk, disk)
     promote = _with_rush([h for h in rest if h.tier == "disk"], rules, week_second)
@@ -94,14 +103,17 @@
     )
 
 
-def _overflow(ranked: list[StoredPrefix], room: int) -> list[StoredPrefix]:
-    """Return the least worthy of `ranked` whose going brings it to the low mark."""
+def _overflow(ranked: list[StoredPrefix], capacity: int) -> list[StoredPrefix]:
+    """Return the first of `ranked` whose removal brings the total to the low watermark.
+
+    Return none while the total is below the high watermark of `capacity`, in bytes.
+    """
     total = sum(h.size for h in ranked)
-    if total <= room * _HIGH_WATERMARK:
+    if total <= capacity * _HIGH_WATERMARK:
         return []
     out = []
     for held in ranked:
-        if total <= room * _LOW_WATERMARK:
+        if total <= capacity * _LOW_WATERMARK:
             break
         out.append(held)
         total -= held.size
--- a/packages/core/src/fielddrift_core/loading.py
+++ b/packages/core/src/fielddrift_core/loading.py
@@ -1,4 +1,4 @@
-"""Know until when engines are taken to be loading weights."""
+"""Track until when engines are expected to be loading weights."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 
 class LoadingEngines:
-    """Until when engines load, by this node's own knowledge and by other nodes' word.
+    """Expected end of each engine's load, as observed by this node and reported by others.
 
-    Only what a node knows itself is told on nearby, and a relay tells other data centres
-    what it was told nearby: told by whoever was told, a load would be renewed at each hop
-    by the time that a heartbeat takes.  Not safe for threads.
+    Within a data centre a node reports only what it observed itself.  A relay reports to
+    other data centres what it observed or was reported within its own.  If every recipient
+    forwarded reports, each hop would extend a load by the delay of a heartbeat.  Not
+    thread-safe.
     """
 
     def __init__(self) -> None:
@@ -18,40 +19,40 @@
         self._reported: dict[str, float] = {}
         self._reported_remote: dict[str, float] = {}
         self.changes = 0
-        """Rises with what this node itself learns, which must count at once."""
+        """Count of changes that this node itself observed, which must take effect at once."""
 
     def record_own(self, engine: str, until: float) -> None:
-        """Take that `engine` loads until then, by this node's own knowledge."""
+        """Record this node's own observation that `engine` loads until the time `until`."""
         self._own[engine] = max(until, self._own.get(engine, until))
         self.changes += 1
 
     def record_reported(self, engine: str, until: float, *, remote: bool = False) -> None:
-        """Take that `engine` loads until then, by another node's word.
+        """Record another node's report that `engine` loads until the time `until`.
 
         `remote` says that the node is in another data centre.
         """
-        told = self._reported_remote if remote else self._reported
-        told[engine] = max(until, told.get(engine, until))
+        reported = self._reported_remote if remote else self._reported
+        reported[engine] = max(until, reported.get(engine, until))
 
     def ended(self, engine: str) -> None:
-        """Take that `engine` has loaded."""
+        """Record that `engine` has finished loading."""
         self._own.pop(engine, None)
         self._reported.pop(engine, None)
         self._reported_remote.pop(engine, None)
         self.changes += 1
 
     def seconds(self, engine: str, now: float) -> float:
-        """Return for how long `engine` is still taken to be loading, 0 when it is not."""
+        """Return the seconds for which `engine` is still expected to load, 0 if it is not."""
         until = max(times.get(engine, now) for times in self._all())
         return max(0.0, until - now)
 
     def own(self, now: float) -> dict[str, float]:
-        """Return for how many seconds engines still load by this node's own knowledge."""
+        """Return the remaining seconds of the loads that this node itself observed, by engine."""
         self._expire(now)
         return {engine: until - now for engine, until in self._own.items()}
 
     def in_data_centre(self, now: float) -> dict[str, float]:
-        """Return the same by the knowledge of this node and of those nearby."""
+        """Return the remaining seconds of the loads that nodes of this data centre observed."""
         self._expire(now)
         longest = dict(self._reported)
         for engine, until in self._own.items():
--- a/packages/core/src/fielddrift_core/lost_runs.py
+++ b/packages/core/src/fielddrift_core/lost_runs.py
@@ -1,7 +1,7 @@
-"""Keep runs that broke off until it is known whether their target has ended.
+"""Keep runs whose connection was lost until it is known whether their target has ended.
 
-A connection that its target's side closes says nothing by itself: an answer can be lost, a
-link reset.  The end of the target shows soon after, or not at all.
+A connection closed by the target's side is not proof that the target has ended: a response
+can be lost or a link reset.  The end of a target becomes known soon afterwards, or not at all.
 """
 
 from __future__ import annotations
@@ -14,14 +14,17 @@
 __all__ = ["LostRun", "LostRuns"]
 
 _PENDING_SECONDS = 5.0
-"""How long the end of a target may explain a run that broke off: an entry is gone after three
-heartbeats of silence, and read within a second."""
+"""How long after a run was lost the end of its target may still explain it: a target's entry is
+removed after three missed heartbeats, and this is read within a second."""
 _ENDED_TTL_SECONDS = 10.0
-"""How long runs at a target known to have ended may still break off, on slow links."""
+"""How long after the end of a target its runs may still be lost, on slow links."""
 
 
 class LostRun(NamedTuple):
-    """A run that broke off on its target's side, `at` when; `ran` the seconds since its send."""
+    """A run whose connection was closed by its target's side.
+
+    `at` is the time of the loss, `ran` the seconds since the run was sent.
+    """
 
     request_id: str
     fingerprint: str
@@ -31,47 +34,47 @@
 
     @property
     def crash(self) -> Crash:
-        """Return what the end of the target says of the request."""
+        """Return the crash that this run is evidence of, if its target has ended."""
         return Crash(self.fingerprint, self.target, self.at, self.ran)
 
 
 class LostRuns:
-    """Runs in doubt, by the name of their target's life.  Not safe for threads."""
+    """Lost runs by the name of their target's process instance.  Not thread-safe."""
 
     def __init__(self) -> None:
         self._pending: dict[str, list[LostRun]] = {}
         self._ended_at: dict[str, float] = {}
-        """When targets were known to have ended."""
+        """When each target became known to have ended."""
 
     def __contains__(self, target: str) -> bool:
-        """Return whether runs at `target` are in doubt."""
+        """Return whether lost runs at `target` are pending."""
         return target in self._pending
 
     @property
     def targets(self) -> list[str]:
-        """Return the targets at which runs are in doubt."""
+        """Return the targets with pending lost runs."""
         return list(self._pending)
 
     def add(self, run: LostRun) -> bool:
-        """Take a run that broke off; return whether its target is known to have ended."""
+        """Add a lost run; return True, without keeping it, if its target is known to have ended."""
         if run.target in self._ended_at:
             return True
         self._pending.setdefault(run.target, []).append(run)
         return False
 
     def ended(self, target: str, now: float) -> list[LostRun]:
-        """Take the end of `target`; return the runs that broke off for it."""
+        """Record the end of `target`; return its pending runs, which were lost by it."""
         runs = self._pending.pop(target, [])
         if runs:
             self._ended_at[target] = now
         return runs
 
     def cancel_end(self, target: str) -> None:
-        """Take that `target` has not ended after all."""
+        """Revoke the end of `target`: it is alive."""
         self._ended_at.pop(target, None)
 
     def expire(self, now: float) -> None:
-        """Forget runs whose targets have shown no end, and ends that are over."""
+        """Remove runs that waited too long for the end of their target, and old ends."""
         _forget(
             self._ended_at, (t for t, at in self._ended_at.items() if now - at > _ENDED_TTL_SECONDS)
         )
--- a/packages/core/src/fielddrift_core/memory.py
+++ b/packages/core/src/fielddrift_core/memory.py
@@ -1,7 +1,7 @@
-"""Guess which parts an engine still has in its memory, from what it was sent.
+"""Estimate which prompt parts an engine still has in memory, from what it was sent.
 
-The parts unused longest are the first to give way.  A wrong guess costs a
-read, never a wrong answer: the engine itself knows what it has.
+The estimate is an LRU cache.  A wrong estimate costs an extra prefill, but never gives a wrong
+response, since the engine itself knows what it has.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 __all__ = ["EngineMemory"]
 
 _OWN_FRACTION = 0.4
-"""Part of an engine's memory that is taken to hold what this node sent: runs
-under way and other nodes' prompts take the rest."""
+"""Fraction of an engine's memory that is assumed to hold parts sent by this node; running
+requests and the prompts of other nodes take the rest."""
 
 
 class _CachedPart(NamedTuple):
-    """A part of so many tokens, by the last send that brought or used it."""
+    """A part's length in tokens, and the number of the last send that included it."""
 
     tokens: int
     send: int
 
 
 class EngineMemory:
-    """Parts by engine, newest use last.  Not safe for threads."""
+    """Parts by engine, most recently used last.  Not thread-safe."""
 
     def __init__(self) -> None:
         self._held: dict[str, OrderedDict[tuple[str, str], _CachedPart]] = {}
         self._sends = 0
 
     def sent(self, engine: str, salt: str, parts: Iterable[Part], capacity: int) -> int:
-        """Note that `engine` was sent a prompt with `parts`; return the number of the send.
+        """Record that `engine` was sent a prompt with `parts`; return the number of the send.
 
-        `capacity` is in tokens.
+        `capacity` is the engine's memory in tokens.
         """
         self._sends += 1
         held = self._held.setdefault(engine, OrderedDict())
@@ -50,9 +50,9 @@
         return self._sends
 
     def undo_send(self, engine: str, salt: str, parts: Iterable[str], *, send: int) -> None:
-        """Forget `parts`, by id, of the send numbered `send`, which `engine` turned away.
+        """Remove the `parts`, by id, of the send numbered `send`, which `engine` refused.
 
-        What another prompt brought there meanwhile stays.
+        Parts that another prompt has included since then stay.
         """
         held = self._held.get(engine, OrderedDict())
         for part in parts:
--- a/packages/core/src/fielddrift_core/overload.py
+++ b/packages/core/src/fielddrift_core/overload.py
@@ -1,9 +1,9 @@
-"""Refuse at once a prompt that cannot be answered in time, and say when to come back.
+"""Refuse a prompt at once that cannot be answered in time, and compute when to retry.
 
-Engines that hold more prompts than their memory takes answer everyone late,
-and stay so: what waits is as much as what comes.  Callers that are sent away
-at once leave room for those that can still be in time, and are in time
-themselves when they come back after the backlog.
+Engines that have more prompts than their memory holds answer all of them late, and do not
+recover, since their backlog does not shrink.  Refusing prompts at once leaves room for those
+that can still be in time; the refused callers are in time as well when they retry after the
+backlog has cleared.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 __all__ = ["LATE_FRACTION", "is_congested", "refusal_delay", "retry_delay"]
 
 LATE_FRACTION = 0.95
-"""Estimate, in parts of the aim, from which an answer is taken to be late: estimates
-are off by a tenth in the median, and a refusal costs a caller less than a late answer."""
+"""Ratio of the estimate to the latency goal from which a response counts as late.  The median
+error of the estimates is a tenth, and a refusal costs a caller less than a late response."""
 _RETRY_FRACTION = 1 / 3
-"""Callers wait at most such a part of the time that they have left."""
+"""Maximum retry delay as a fraction of the time that the caller has left."""
 _MIN_JITTER = 0.7
-"""Times to come back lie between this part of the longest one and all of it, so
-that those who are sent away together do not return together."""
+"""Retry delays are spread between this fraction of the maximum and the maximum, so that
+callers refused at the same time do not retry at the same time."""
 _CONGESTION_FRACTION = 0.2
-"""Part of the aim that others must take before a prompt is sent away because of them:
-one that takes long by itself is late whenever it comes, and would never be taken."""
+"""Fraction of the latency goal that other prompts must take before one is refused because of
+them.  A prompt that takes long by itself is late at any time, and would never be accepted."""
 
 
 def is_congested(*, queue_seconds: float, latency_goal: float) -> bool:
-    """Return whether others keep a prompt waiting: `queue` is the seconds that they take."""
+    """Return whether other prompts, which take `queue_seconds`, delay a prompt notably."""
     return queue_seconds > _CONGESTION_FRACTION * latency_goal
 
 
 def refusal_delay(
     *, time_left: float, estimate: float, latency_goal: float, congested: bool, rng: random.Random
 ) -> float | None:
-    """Return the seconds after which a caller should return; None to take its request.
+    """Return the seconds after which a refused caller should retry; None to accept its request.
 
-    `estimate` is when its answer would begin, `crowded` whether others
-    keep it waiting, `patience` how long the caller waits.
+    `estimate` is the expected seconds until its response begins, `congested` whether other
+    prompts delay it, `time_left` the seconds that the caller waits.
     """
     if not congested or estimate <= LATE_FRACTION * latency_goal:
         return None
@@ -44,5 +44,5 @@
 
 
 def retry_delay(*, time_left: float, rng: random.Random) -> float:
-    """Return the seconds after which a caller that waits for `patience` should return."""
+    """Return the seconds after which a caller that waits for `time_left` should retry."""
     return max(0.0, time_left) * _RETRY_FRACTION * rng.uniform(_MIN_JITTER, 1.0)
--- a/packages/core/src/fielddrift_core/pace.py
+++ b/packages/core/src/fielddrift_core/pace.py
@@ -1,12 +1,12 @@
-"""Learn how quickly engines are from the first events that they gave.
+"""Learn how fast engines are from the times of their first events.
 
-Load pattern: engines work at another speed than the estimates take for granted, all of
-them or some, for hours.  Estimates that are too short send prompts to engines that are
-full already, read what could be fetched, and take the stores for late.
+Load pattern: some or all engines work at another speed than the estimates assume, for hours.
+Estimates that are too short send prompts to engines that are already full, prefill what
+could be fetched, and attribute the lateness to the stores.
 
-A service's pace is what its engines have in common, an engine's own pace how it differs
-from that.  Both are means of logarithms, so one answer that hung counts little, and
-begin at 1: as quick as estimated.
+The slowdown of a service is what its engines have in common; that of an engine is its
+deviation from the service.  Both are moving averages of logarithms, so that a single hung
+response counts little, and start at a factor of 1.
 """
 
 from __future__ import annotations
@@ -16,22 +16,23 @@
 __all__ = ["EngineSlowdowns"]
 
 _SERVICE_WEIGHT = 0.03
-"""Weight of the newest first event in a service's pace: some thirty count."""
+"""Weight of the newest first event in a service's slowdown: about thirty events count."""
 _ENGINE_WEIGHT = 0.1
+"""Weight of the newest first event in an engine's slowdown: about ten events count."""
 _MIN_RATIO = 0.3
 _MAX_RATIO = 6.0
-"""First events that came earlier, or later, by more than these factors count as by these."""
+"""Bounds to which the ratio of the measured to the estimated time is clamped."""
 
 
 class EngineSlowdowns:
-    """How long engines take, in parts of what is estimated for usual ones."""
+    """Ratio of the time that engines take to the estimate for a usual engine."""
 
     def __init__(self) -> None:
         self._services: dict[str, float] = {}
         self._engines: dict[str, float] = {}
 
     def observe(self, service: str, engine: str, *, estimate: float, seconds: float) -> None:
-        """Take that an engine took `seconds` for what is estimated at `estimate`."""
+        """Record that an engine took `seconds` for work estimated at `estimate` seconds."""
         ratio = min(_MAX_RATIO, max(_MIN_RATIO, seconds / estimate))
         common = self._services.get(service, 0.0)
         own = self._engines.get(engine, 0.0)
@@ -40,6 +41,6 @@
         self._engines[engine] = own + _ENGINE_WEIGHT * error
 
     def factor(self, service: str, engine: str) -> float:
-        """Return how long an engine takes, in parts of the estimate for a usual one."""
+        """Return the ratio of an engine's time to the estimate for a usual engine."""
         common, own = self._services.get(service, 0.0), self._engines.get(engine, 0.0)
         return math.exp(common + own) if common or own else 1.0
--- a/packages/core/src/fielddrift_core/retries.py
+++ b/packages/core/src/fielddrift_core/retries.py
@@ -1,9 +1,9 @@
-"""Decide when to try again, and when to leave a target alone.
+"""Retry budgets, backoff, and circuit breakers for targets.
 
-Only what may be repeated, or surely did not start, is tried again; retries
-draw on a budget that first tries fill; waits grow with jitter and never pass
-the deadline.  A breaker keeps requests off a target that fails, and lets one
-through now and then as a probe.
+Only requests that are idempotent, or that certainly did not start, are retried.  Retries draw
+on a budget that first tries fill; delays grow exponentially with jitter and never exceed the
+deadline.  A circuit breaker keeps requests away from a failing target, and now and then
+lets one through as a probe.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 FAILURE_THRESHOLD = 3
 FIRST_OPEN_SECONDS = 0.5
 MAX_OPEN_SECONDS = 8.0
-_SLICES = 10
+_SLICE_COUNT = 10
 _WINDOW_SPEND_FRACTION = 0.8
-"""Part of a shared budget that is spent: other nodes' counts are not known exactly."""
+"""Fraction of a shared budget that is spent, since other nodes' counts are not known exactly."""
 
 
 def backoff(attempt: int, *, rng: random.Random, left: float) -> float | None:
-    """Return the seconds to wait before try `attempt` (1 is the first retry).
+    """Return the seconds to wait before retry number `attempt`, from 1.
 
-    None when the wait would use up the time `left` to the deadline.
+    Return None if the wait would use up the seconds `left` until the deadline.
     """
     span = min(MAX_WAIT_SECONDS, FIRST_WAIT_SECONDS * 2**attempt)
     wait = rng.uniform(span / 2, span)
@@ -36,10 +36,10 @@
 
 
 class RetryBudget:
-    """Let retries be at most a share of first tries.
+    """Token bucket that limits retries to a share of the first tries.
 
-    `floor` retries are allowed on an idle budget, so that single failures on
-    a quiet node are still retried.
+    An idle budget allows `floor` retries, so that single failures on a node with little
+    traffic are still retried.
     """
 
     def __init__(self, *, share: float = BUDGET_RATIO, floor: float = BUDGET_FLOOR) -> None:
@@ -52,7 +52,7 @@
         self._tokens = min(self._floor * 10, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Spend one retry; False when the budget is empty."""
+        """Spend one retry; return False if the budget is empty."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -60,7 +60,7 @@
 
 
 class BreakerState(StrEnum):
-    """Whether a target gets requests."""
+    """State of a circuit breaker; PROBING lets a single request through."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -68,7 +68,10 @@
 
 
 class CircuitBreaker:
-    """Rest a target after failures in a row; rests double up to `longest` seconds."""
+    """Circuit breaker that opens after consecutive failures.
+
+    The time for which it stays open doubles with each failed probe, up to `max_open_seconds`.
+    """
 
     def __init__(self, *, max_open_seconds: float = MAX_OPEN_SECONDS) -> None:
         self._max_open_seconds = max_open_seconds
@@ -78,7 +81,7 @@
         self._probing = False
 
     def state(self, now: float) -> BreakerState:
-        """Return the state at `now`."""
+        """Return the state at time `now`."""
         if self._failures < FAILURE_THRESHOLD:
             return BreakerState.CLOSED
         if now < self._open_until or self._probing:
@@ -86,11 +89,11 @@
         return BreakerState.PROBING
 
     def allows(self, now: float) -> bool:
-        """Return whether a request may be sent at `now`."""
+        """Return whether a request may be sent at time `now`."""
         return self.state(now) is not BreakerState.OPEN
 
     def sent(self, now: float) -> None:
-        """Note that a request goes out; while probing, no second one follows."""
+        """Record that a request was sent; as a probe it blocks others until its result."""
         if self.state(now) is BreakerState.PROBING:
             self._probing = True
 
@@ -101,7 +104,7 @@
         self._probing = False
 
     def failed(self, now: float) -> None:
-        """Count a failure; open, or rest longer, once there are enough."""
+        """Record a failure; open the breaker, or keep it open for longer, from the threshold."""
         self._failures += 1
         self._probing = False
         if self._failures < FAILURE_THRESHOLD:
@@ -111,26 +114,29 @@
 
 
 class WindowBudget:
-    """Bound repeated sends within any window by a share of first sends and a slack.
+    """Limit the repeated sends within any window to a ratio of the first sends plus a slack.
 
-    All nodes together may spend `ratio` x first sends + `slack`; each spends
-    from its own first sends and its part of the slack, so that none needs to
-    ask the others.  Sends are counted in slices of a tenth of the window.
+    All nodes together may spend `ratio` x first sends + `slack` per `window` seconds.  Each
+    node spends from its own first sends and its share of the slack, without coordination.
+    Sends are counted in slices of a tenth of the window.
     """
 
     def __init__(self, *, ratio: float, slack: float, window: float) -> None:
         self._ratio = ratio * _WINDOW_SPEND_FRACTION
         self._slack = slack * _WINDOW_SPEND_FRACTION
-        self._slice = window / _SLICES
+        self._slice = window / _SLICE_COUNT
         self._firsts: dict[int, int] = {}
         self._repeats: dict[int, int] = {}
 
     def record_first(self, now: float) -> None:
-        """Count a first send."""
+        """Record a first send."""
         self._count(self._firsts, now)
 
     def spend(self, now: float, *, nodes: int) -> bool:
-        """Spend one repeated send; False when the window has no room for it."""
+        """Spend one repeated send; return False if the budget of the window is used up.
+
+        `nodes` is the number of nodes that share the slack.
+        """
         allowed = self._ratio * self._sum(self._firsts, now) + self._slack / max(1, nodes)
         if self._sum(self._repeats, now) + 1 > allowed:
             return False
@@ -143,6 +149,6 @@
 
     def _sum(self, slices: dict[int, int], now: float) -> int:
         current = int(now / self._slice)
-        for old in [number for number in slices if number < current - _SLICES]:
+        for old in [number for number in slices if number < current - _SLICE_COUNT]:
             del slices[old]
         return sum(slices.values())
--- a/packages/core/src/fielddrift_core/urgency.py
+++ b/packages/core/src/fielddrift_core/urgency.py
@@ -1,8 +1,8 @@
-"""Tell requests that can still be in time from those that are late whatever happens.
+"""Distinguish requests that can still be in time from those that will be late in any case.
 
-A caller that comes back says how long it still waits.  Beside what callers of
-its route usually say, that tells for how long it has waited already.  After an
-outage most requests are such, and they should not make the others late.
+A caller that retries sends the time it has left.  Compared with what callers of its route
+usually send, this shows how long it has already waited.  After an outage most requests are
+such retries, and they should not make the others late.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 __all__ = ["CallerWaits", "urgency"]
 
 LOWEST_URGENCY = 9
-"""Engines know the urgencies from 0 to this one; 0 comes first."""
+"""Engines accept urgencies from 0, the most urgent, to this one."""
 _SAMPLE_COUNT = 200
-"""Requests of a route that tell how long its callers wait: some seconds' worth."""
+"""Recent requests of a route from which the usual time is computed: some seconds' worth."""
 _USUAL_QUANTILE = 0.9
-"""Of these, the part that wait at most the usual time: most callers come for the first
-time, and a few may wait for longer than all others."""
+"""Quantile of their times that counts as usual: most requests are first tries, and a few
+callers may allow for more time than all others."""
 _UPDATE_INTERVAL_COUNT = 16
-"""Requests after which the usual time is worked out anew: that costs a sort."""
+"""Requests after which the usual time is computed again; each computation costs a sort."""
 
 
 class _Route:
@@ -31,13 +31,16 @@
 
 
 class CallerWaits:
-    """How long callers of each route have waited already, in seconds."""
+    """Estimates how long callers have already waited, from the times they have left."""
 
     def __init__(self) -> None:
         self._routes: dict[str, _Route] = {}
 
     def waited(self, route: str, remaining: float) -> float:
-        """Return for how long a caller has waited that waits `patience` from now."""
+        """Return the seconds that a caller has already waited.
+
+        `remaining` is the number of seconds for which it will still wait.
+        """
         known = self._routes.setdefault(route, _Route())
         known.remaining_seconds.append(remaining)
         known.since += 1
@@ -49,10 +52,10 @@
 
 
 def urgency(rank: int, *, late: bool, ranks: Sequence[int]) -> int:
-    """Return how urgent engines should take a prompt of `rank`, 0 first.
+    """Return the urgency of a prompt of `rank` for engines, 0 for the most urgent.
 
-    Late ones come after the others of their rank, and before all of the next
-    rank.  Where `ranks` are too many for two steps each, they keep their own.
+    Late prompts come after the others of their rank and before all of the next rank.  If
+    `ranks` has too many entries for two levels each, the urgency is the rank itself.
     """
     if 2 * len(ranks) > LOWEST_URGENCY + 1 or rank not in ranks:
         return min(LOWEST_URGENCY, max(0, rank))
