--- a/packages/node/src/fielddrift_node/serving/membership.py
+++ b/packages/node/src/fielddrift_node/serving/membership.py
@@ -101,7 +101,7 @@
                 rows, _ = await self._platform.rows(TABLE)
                 break
             except RemoteCallError as error:
-                _log.warning("joining failed, retrying", error=str(error))
+                _log.warning("not joined, retrying", error=str(error))
                 await asyncio.sleep(_JOIN_RETRY_SECONDS)
         self._add_nodes(rows)
         self._joined_at = asyncio.get_running_loop().time()
--- a/tests/test_store_view_walk.py
+++ b/tests/test_store_view_walk.py
@@ -108,7 +108,7 @@
         source, copier = self.rng.sample(self.nodes, k=2)
         view = copier.view
         ask = StoreCopyRequest(STORE.address, view.life, view.following)
-        copy = source.handler._kept_copy(ask, None)
+        copy = source.handler._store_copy(ask, None)
         if self.rng.random() < 0.3:
             self.rng.choice([self.keep, self.hear])()
             self.check()
