--- a/packages/node/src/fielddrift_node/serving/metrics.py
+++ b/packages/node/src/fielddrift_node/serving/metrics.py
@@ -1,8 +1,8 @@
-"""Count what a serving node does, and serve the figures as text.
+"""Keep a serving node's metrics, and serve them in the Prometheus text format.
 
-The figures are plain numbers.  The library that words them is loaded when they
-are first asked for: loading it took a quarter of a node's start, and a node
-that starts after a loss of power is waited for.
+The values are plain numbers.  The Prometheus client library is imported only when the metrics
+are first requested: its import took a quarter of a node's start time, and after a power loss
+callers wait for the nodes to start.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 __all__ = ["Counter", "Gauge", "Histogram", "Metrics", "MetricsHandler"]
 
-_BUCKETS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.7, 1.0, 1.5, 2.5, 4.0, 8.0)
-"""Seconds; fine around the users' aims of 0.15 to 0.54 s."""
-_TEXT = Headers([(b"Content-Type", b"text/plain; version=0.0.4")])
-_LIFT = b"/lift/"
-_JSON = Headers([(b"Content-Type", b"application/json")])
+_BUCKET_BOUNDS_SECONDS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.7, 1.0, 1.5, 2.5, 4.0, 8.0)
+"""Upper bounds of histogram buckets; fine around the users' latency goals of 0.15 to 0.54 s."""
+_TEXT_HEADERS = Headers([(b"Content-Type", b"text/plain; version=0.0.4")])
+_LIFT_PATH = b"/lift/"
+_JSON_HEADERS = Headers([(b"Content-Type", b"application/json")])
 
 
 class Counter:
-    """A sum that only rises, by the values of `label` where it has one."""
+    """A monotonic counter, with one sum for each value of `label` if that is set."""
 
-    def __init__(self, *, name: str, text: str, label: str = "") -> None:
+    def __init__(self, *, name: str, help_text: str, label: str = "") -> None:
         self._name = name
-        self._text = text
+        self._help_text = help_text
         self._label = label
         self._sums: defaultdict[str, float] = defaultdict(float)
         if not label:
@@ -43,65 +43,69 @@
         self._sums[label_value] += amount
 
     def family(self) -> Metric:
-        """Return the sums as the library words them."""
+        """Return the sums as a Prometheus metric family."""
         from prometheus_client.core import CounterMetricFamily
 
         labels = [self._label] if self._label else []
-        family = CounterMetricFamily(self._name, self._text, labels=labels)
+        family = CounterMetricFamily(self._name, self._help_text, labels=labels)
         for value, amount in sorted(self._sums.items()):
             family.add_metric([value] if labels else [], amount)
         return family
 
 
 class Gauge:
-    """A figure that goes up and down."""
+    """A value that can go up and down."""
 
-    def __init__(self, *, name: str, text: str) -> None:
+    def __init__(self, *, name: str, help_text: str) -> None:
         self._name = name
-        self._text = text
+        self._help_text = help_text
         self._value = 0.0
 
     def set(self, value: float) -> None:
-        """Take the figure as it is now."""
+        """Set the current value."""
         self._value = value
 
     def family(self) -> Metric:
-        """Return the figure as the library words it."""
+        """Return the value as a Prometheus metric family."""
         from prometheus_client.core import GaugeMetricFamily
 
-        return GaugeMetricFamily(self._name, self._text, value=self._value)
+        return GaugeMetricFamily(self._name, self._help_text, value=self._value)
 
 
 class Histogram:
-    """Seconds that something took, counted by `_BUCKETS`."""
+    """A histogram of durations with the buckets of `_BUCKET_BOUNDS_SECONDS`."""
 
-    def __init__(self, *, name: str, text: str) -> None:
+    def __init__(self, *, name: str, help_text: str) -> None:
         self._name = name
-        self._text = text
-        self._counts = [0] * (len(_BUCKETS) + 1)
+        self._help_text = help_text
+        self._counts = [0] * (len(_BUCKET_BOUNDS_SECONDS) + 1)
         self._sum = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one that took `seconds`."""
-        self._counts[bisect_left(_BUCKETS, seconds)] += 1
+        """Count a duration in seconds."""
+        self._counts[bisect_left(_BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self._sum += seconds
 
     def family(self) -> Metric:
-        """Return the counts as the library words them: each includes those before it."""
+        """Return the cumulative bucket counts as a Prometheus metric family."""
         from prometheus_client.core import HistogramMetricFamily
 
         buckets, total = [], 0
-        for bound, count in zip([*map(str, _BUCKETS), "+Inf"], self._counts, strict=True):
+        for bound, count in zip(
+            [*map(str, _BUCKET_BOUNDS_SECONDS), "+Inf"], self._counts, strict=True
+        ):
             total += count
             buckets.append((bound, total))
-        return HistogramMetricFamily(self._name, self._text, buckets=buckets, sum_value=self._sum)
+        return HistogramMetricFamily(
+            self._name, self._help_text, buckets=buckets, sum_value=self._sum
+        )
 
 
 class Metrics:
     """All counters, gauges and histograms of one node."""
 
     def __init__(self) -> None:
-        self._all: list[Counter | Gauge | Histogram] = []
+        self._metrics: list[Counter | Gauge | Histogram] = []
         self.answers = self._counter("answers", "answers of targets passed on", "status")
         self.refusals = self._counter("refusals", "answers of the node's own", "reason")
         self.left = self._counter("left", "requests whose caller left")
@@ -161,62 +165,62 @@
         self.targets_age = self._gauge("targets_age_seconds", "age of the targets' own reading")
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all figures, as the library's registry asks for them."""
-        for figure in self._all:
-            yield figure.family()
+        """Yield all metric families; called by the Prometheus registry."""
+        for metric in self._metrics:
+            yield metric.family()
 
     def text(self) -> bytes:
-        """Return all figures in the text format."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
         registry.register(self)
         return generate_latest(registry)
 
-    def _counter(self, name: str, text: str, label: str = "") -> Counter:
-        counter = Counter(name=f"fielddrift_{name}", text=text, label=label)
-        self._all.append(counter)
+    def _counter(self, name: str, help_text: str, label: str = "") -> Counter:
+        counter = Counter(name=f"fielddrift_{name}", help_text=help_text, label=label)
+        self._metrics.append(counter)
         return counter
 
-    def _gauge(self, name: str, text: str) -> Gauge:
-        gauge = Gauge(name=f"fielddrift_{name}", text=text)
-        self._all.append(gauge)
+    def _gauge(self, name: str, help_text: str) -> Gauge:
+        gauge = Gauge(name=f"fielddrift_{name}", help_text=help_text)
+        self._metrics.append(gauge)
         return gauge
 
-    def _histogram(self, name: str, text: str) -> Histogram:
-        histogram = Histogram(name=f"fielddrift_{name}_seconds", text=text)
-        self._all.append(histogram)
+    def _histogram(self, name: str, help_text: str) -> Histogram:
+        histogram = Histogram(name=f"fielddrift_{name}_seconds", help_text=help_text)
+        self._metrics.append(histogram)
         return histogram
 
 
 class MetricsHandler:
-    """Answer whoever asks for the figures, or for what the node believes.
+    """Serves the metrics at `/metrics` and the node's view of the cluster at `/beliefs`.
 
-    An operator lets a request go that is held back by `POST /lift/FINGERPRINT`; `lift` says
-    whether it was known.
+    An operator releases a request that is held back with `POST /lift/FINGERPRINT`; `lift`
+    returns whether it was held back.
     """
 
     def __init__(
         self, *, metrics: Metrics, beliefs: Callable[[], bytes], lift: Callable[[str], bool]
     ) -> None:
         self._lift = lift
-        self._pages: dict[bytes, tuple[Headers, Callable[[], bytes]]] = {
-            b"/metrics": (_TEXT, metrics.text),
-            b"/beliefs": (_JSON, beliefs),
+        self._endpoints: dict[bytes, tuple[Headers, Callable[[], bytes]]] = {
+            b"/metrics": (_TEXT_HEADERS, metrics.text),
+            b"/beliefs": (_JSON_HEADERS, beliefs),
         }
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one question."""
+        """Respond to one request."""
         path = request.head.target.partition(b"?")[0]
-        if path.startswith(_LIFT):
-            self._answer_lift(request, path[len(_LIFT) :], responder)
+        if path.startswith(_LIFT_PATH):
+            self._answer_lift(request, path[len(_LIFT_PATH) :], responder)
             return
-        page = self._pages.get(path)
-        if page is None:
+        endpoint = self._endpoints.get(path)
+        if endpoint is None:
             responder.send(404, Headers(), b"expected /metrics, /beliefs or /lift/FINGERPRINT")
             return
-        headers, text = page
-        responder.send(200, headers, text())
+        headers, render = endpoint
+        responder.send(200, headers, render())
 
     def _answer_lift(self, request: Request, fingerprint: bytes, responder: Responder) -> None:
         if request.head.method != b"POST":
@@ -225,4 +229,4 @@
         if not self._lift(fingerprint.decode("latin-1")):
             responder.send(404, Headers(), b"no target ended under such a request")
             return
-        responder.send(200, _JSON, b"{}")
+        responder.send(200, _JSON_HEADERS, b"{}")
--- a/packages/node/src/fielddrift_node/serving/settings.py
+++ b/packages/node/src/fielddrift_node/serving/settings.py
@@ -1,4 +1,4 @@
-"""Hold what a serving node is told at its start."""
+"""Settings of a serving node."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class SettingsError(Exception):
-    """Settings that cannot be used; the message names the place and the value."""
+    """Raised for invalid settings; the message names the setting and its value."""
 
 
 class Bounds(NamedTuple):
-    """Times in seconds that a deployment promises; they come from its operators.
-
-    `drain` bounds new work at a target after its leaving was told, `grace`
-    how long a stop may take, `turn` the pause between orders of two holders,
-    `weights` how long requests may begin on older weights, `entry_cache` how
-    long callers keep an entry answer.  Repeated sends within `retry_window`
-    are at most `retry_ratio` of the requests and `retry_slack`.  `change` is the time
-    after which a change of the configuration must be in force.  A cold target gets at most
-    `cold_overage` times the requests a second that it bears, and `cold_slack`.
+    """Limits that the operators of a deployment set; times are in seconds.
+
+    `drain` is the maximum time for which a leaving target gets new work, `grace` the maximum
+    duration of a shutdown, `handover_pause` the pause between orders of two duty holders,
+    `weights` the maximum time for which requests may start on outdated weights, `entry_cache`
+    the time for which callers cache an entry response, and `change` the time after which a
+    configuration change must be in force.  Retries within `retry_window` are limited to
+    `retry_ratio` times the requests plus `retry_slack`.  A cold target gets at most
+    `cold_overage` times its capacity in requests per second plus `cold_slack`.
     """
 
     drain: float
@@ -37,14 +37,14 @@
 
     @property
     def staleness(self) -> float:
-        """Return the seconds within which a node must know what operators and targets wrote."""
+        """Return the maximum age in seconds of a node's view of operators' and targets' rows."""
         return min(self.drain, self.change)
 
 
 class NodeSettings(NamedTuple):
-    """Where a node is and listens.  Addresses are IP:PORT.
+    """Location and listening addresses (IP:PORT) of a node.
 
-    `capacity` is the requests a second that its host carries.
+    `capacity` is the number of requests per second that its host can handle.
     """
 
     name: str
