--- a/packages/node/src/fielddrift_node/serving/__init__.py
+++ b/packages/node/src/fielddrift_node/serving/__init__.py
@@ -1,5 +1,5 @@
 """Serve requests on the event loop: entry, relay, shared views and duties.
 
-What is spoken with callers, targets and the platform comes in through the
-protocols of `ports`.
+The wire protocols of callers, targets and the platform are implemented by adapters, through the
+interfaces in `ports`.
 """
--- a/packages/node/src/fielddrift_node/serving/beliefs.py
+++ b/packages/node/src/fielddrift_node/serving/beliefs.py
@@ -1,4 +1,4 @@
-"""Tell what a node believes, how old it is and from whom, for whoever is on call."""
+"""Export a node's view of the cluster, with ages and sources, for operators (`/beliefs`)."""
 
 from __future__ import annotations
 
@@ -12,15 +12,22 @@
 
 from .views import Views
 
-__all__ = ["Beliefs", "HeldBelief", "StoreBelief", "TargetBelief", "beliefs_of", "to_json"]
+__all__ = [
+    "ClusterState",
+    "HeldRequestState",
+    "StoreState",
+    "TargetState",
+    "cluster_state",
+    "to_json",
+]
 
 
-class TargetBelief(NamedTuple):
-    """A target: whether it takes new work, its weights, and what is known to be there.
+class TargetState(NamedTuple):
+    """A target: whether it is leaving, its weights, and its known load.
 
-    `loading` is the seconds for which it is still taken to load weights, `cold` says that it
-    is taken for cold.  `limit` is the requests a second that it takes from all nodes together,
-    None for any number; `paused` the seconds for which it still wants nothing from this node.
+    `loading` is the remaining seconds for which it is assumed to load weights.  `cold` says
+    whether it is assumed to be cold.  `limit` is its limit in requests per second for all nodes
+    together, None for no limit.  `paused` is the remaining seconds of a pause that it asked for.
     """
 
     name: str
@@ -35,10 +42,10 @@
     paused: float
 
 
-class StoreBelief(NamedTuple):
-    """A store host: its life and parts, and the age of what this node itself heard.
+class StoreState(NamedTuple):
+    """A store host: its process number (`life`), its parts, and the age of the last update.
 
-    `heard_seconds` is None where another node listens for this one.
+    `heard_seconds` is None if another node follows the store host for this one.
     """
 
     address: str
@@ -49,20 +56,21 @@
     heard_seconds: float | None
 
 
-class HeldBelief(NamedTuple):
-    """A request that is held back for `seconds` more, and the targets that ended under it."""
+class HeldRequestState(NamedTuple):
+    """A request that is held back for `seconds` more, and the targets that ended during it."""
 
     fingerprint: str
     targets: tuple[str, ...]
     seconds: float
 
 
-class Beliefs(NamedTuple):
-    """Everything that decides where a node sends requests, as of now; ages in seconds.
+class ClusterState(NamedTuple):
+    """Everything that decides where a node sends requests; ages are in seconds.
 
-    `reader` names the node that reads from the platform for this one, empty
-    for itself.  `named` gives the newest weights by model, `era` that of the platform's store
-    in which the rows' versions are, `evacuated` the data centres whose targets get nothing.
+    `reader` is the node that reads from the platform for this one, empty if this node reads
+    itself.  `named` is the newest weights by model, `era` the era of the platform's store to
+    which the versions of the rows belong, `evacuated` the data centres whose targets receive no
+    requests.
     """
 
     node: str
@@ -76,18 +84,18 @@
     reader: str
     named: dict[str, int]
     stale: bool
-    targets: list[TargetBelief]
-    stores: list[StoreBelief]
+    targets: list[TargetState]
+    stores: list[StoreState]
     nodes: list[KnownNode]
-    held: list[HeldBelief]
+    held: list[HeldRequestState]
     era: int
     evacuated: list[str]
 
 
-def beliefs_of(views: Views, neighbours: Neighbours, *, reader: str) -> Beliefs:
-    """Return what a node with these views believes."""
+def cluster_state(views: Views, neighbours: Neighbours, *, reader: str) -> ClusterState:
+    """Return the view of the cluster of a node with these views."""
     now = asyncio.get_running_loop().time()
-    return Beliefs(
+    return ClusterState(
         node=neighbours.me.name,
         active=neighbours.is_active(now),
         sharing=views.nodes,
@@ -105,16 +113,16 @@
         era=era_of(max(views.operators_row, views.targets_row)),
         evacuated=sorted(views.registry.evacuated),
         held=[
-            HeldBelief(held.fingerprint, held.targets, round(held.until - now, 3))
+            HeldRequestState(held.fingerprint, held.targets, round(held.until - now, 3))
             for held in views.crashes.all_held(now)
         ],
     )
 
 
-def _targets(views: Views, now: float) -> list[TargetBelief]:
+def _targets(views: Views, now: float) -> list[TargetState]:
     leaving = views.registry.leaving()
     return [
-        TargetBelief(
+        TargetState(
             name=target.name,
             service=target.service,
             leaving=target.name in leaving,
@@ -130,9 +138,9 @@
     ]
 
 
-def _stores(views: Views, now: float) -> list[StoreBelief]:
+def _stores(views: Views, now: float) -> list[StoreState]:
     return [
-        StoreBelief(
+        StoreState(
             address=view.traits.address,
             life=view.life,
             following=view.following,
@@ -145,12 +153,12 @@
 
 
 def _age(at: float, now: float) -> float | None:
-    """Return the seconds since `at`; None for never, which JSON cannot spell."""
+    """Return the seconds since `at`; None for never, since JSON has no infinity."""
     return None if at == float("-inf") else round(now - at, 3)
 
 
-def to_json(beliefs: Beliefs) -> bytes:
-    """Return `beliefs` as a JSON object, its tuples by the names of their fields."""
+def to_json(beliefs: ClusterState) -> bytes:
+    """Return `beliefs` as a JSON object; named tuples become objects."""
     return msgspec.json.encode(_named(beliefs))
 
 
--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -22,7 +22,7 @@
 from .settings import NodeSettings
 from .views import Views
 
-__all__ = ["Call", "RelayProgress", "Refused", "ServingContext", "Trace", "short_id"]
+__all__ = ["Call", "Refused", "RelayProgress", "ServingContext", "Trace", "short_id"]
 
 _MAX_ID_CHARACTERS = 40
 """Maximum length of an event id in a log line: a target may send ids of any length."""
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -15,7 +15,7 @@
 
 from ..web.client import Client
 from ..web.server import Limits, Server
-from .beliefs import beliefs_of, to_json
+from .beliefs import cluster_state, to_json
 from .call import ServingContext
 from .crash_rows import CrashRows
 from .crash_watch import CrashWatch
@@ -239,7 +239,7 @@
     def _beliefs(self) -> bytes:
         reader = self._targets.reader()
         name = "" if reader is None else reader.name
-        return to_json(beliefs_of(self._views, self._neighbours, reader=name))
+        return to_json(cluster_state(self._views, self._neighbours, reader=name))
 
     # --- start and stop -------------------------------------------------------
 
--- a/packages/node/src/fielddrift_node/serving/ports.py
+++ b/packages/node/src/fielddrift_node/serving/ports.py
@@ -1,6 +1,6 @@
-"""Describe what the serving node needs from the outside, as protocols and messages.
+"""Interfaces of the serving node to the platform, to callers and to targets.
 
-An adapter for a platform implements these; nothing else in the node knows a
+An adapter for a platform implements these protocols; no other code of the node depends on a
 platform's names.
 """
 
@@ -19,28 +19,28 @@
 from ..web.server import Request
 
 __all__ = [
-    "ParsedRequest",
-    "InvalidRequest",
     "CallerDialect",
     "EngineReport",
-    "TransferPlan",
-    "StoredPart",
     "HistoryTruncated",
-    "StoreChanges",
-    "StoreContents",
+    "InvalidRequest",
     "NamedWeights",
     "OperatorChanges",
     "OrderOutcome",
-    "RemoteCallError",
-    "WriteOutcome",
+    "OutgoingRequest",
+    "ParsedRequest",
     "Platform",
+    "RemoteCallError",
+    "ResponseInfo",
     "RowWrite",
     "SavedRow",
-    "OutgoingRequest",
-    "ResponseInfo",
-    "TargetDialect",
+    "StoreChanges",
+    "StoreContents",
+    "StoredPart",
     "TargetChanges",
+    "TargetDialect",
+    "TransferPlan",
     "WeightsOrder",
+    "WriteOutcome",
 ]
 
 
@@ -48,9 +48,10 @@
 
 
 class RemoteCallError(Exception):
-    """The platform, or a target, gave no usable answer; `sure` when the call surely did nothing.
+    """Raised when the platform or a target gave no usable response to a call.
 
-    `notice` is what the other side said of itself beside.
+    `not_executed` means that the call certainly had no effect.  `notice` is what a target
+    reported about itself in the response.
     """
 
     def __init__(
@@ -62,9 +63,10 @@
 
 
 class HistoryTruncated(Exception):
-    """Changes after the version asked for are no longer kept; read the whole.
+    """Raised when changes after the requested version are no longer available: read all rows.
 
-    `store_restored` says that the store has come back from a copy: that version is of an older era.
+    `store_restored` means that the store was restored from a backup, so the requested version
+    belongs to an older era.
     """
 
     def __init__(self, table: str, *, store_restored: bool = False) -> None:
@@ -83,9 +85,9 @@
 
 
 class OperatorChanges(NamedTuple):
-    """What operators wrote: a whole catalog if it changed, named weights, evacuations.
+    """What operators changed: the whole catalog if it changed, named weights, evacuations.
 
-    `version` is where the next reading goes on.
+    `version` is the version from which the next read continues.
     """
 
     catalog: Catalog | None
@@ -95,10 +97,10 @@
 
 
 class TargetChanges(NamedTuple):
-    """Entries of targets that changed, and the names of those that ended.
+    """Changed entries of targets, and the names of targets that ended.
 
-    With `whole` the entries are all that there are.  `unreadable` are ids whose entries came
-    from another writer: they name no target to use, now or while the store was away.
+    With `whole` the entries are complete.  `unreadable` lists ids whose entries another writer
+    wrote: they are not usable targets, and were none while the store was unavailable.
     """
 
     entries: tuple[Instance, ...]
@@ -109,7 +111,7 @@
 
 
 class SavedRow(NamedTuple):
-    """A row of the node's own in the platform's table; `version` 0 when absent."""
+    """A row of the nodes' own in a table of the platform; `version` is 0 if it is absent."""
 
     key: str
     value: bytes
@@ -117,9 +119,9 @@
 
 
 class RowWrite(NamedTuple):
-    """A write that takes effect only while the row has version `expect`.
+    """A conditional write, which takes effect only if the row has version `expect`.
 
-    `value` None removes the row; `expect` None writes whatever stands there.
+    `value` None removes the row; `expect` None makes the write unconditional.
     """
 
     key: str
@@ -128,7 +130,7 @@
 
 
 class WriteOutcome(NamedTuple):
-    """Whether writes took effect; `clock` is the platform's steady clock in seconds."""
+    """Whether writes took effect; `clock` is the platform's monotonic clock in seconds."""
 
     done: bool
     version: int
@@ -136,11 +138,11 @@
 
 
 class Platform(Protocol):
-    """The platform's store, as far as the node uses it.  All may raise `RemoteCallError`.
+    """The platform's store, as far as the node uses it.  All methods may raise `RemoteCallError`.
 
-    Versions are marks, see `fielddrift_core.eras`.  `calls` counts the calls made since the
-    start, refused ones too, `unreadable` the versions of rows that were not understood; `era`
-    is the newest era that an answer has told, 0 where none does.
+    Versions include the store's era, see `fielddrift_core.eras`.  `calls` counts all calls since
+    the start, including refused ones, `unreadable` the versions of rows that could not be
+    decoded.  `era` is the newest era seen in a response, 0 for none.
     """
 
     calls: int
@@ -148,26 +150,26 @@
     era: int
 
     async def operator_changes(self, after: int | None, wait: float) -> OperatorChanges:
-        """Return what operators wrote after `after`, waiting up to `wait` seconds."""
+        """Return what operators changed after version `after`, waiting up to `wait` seconds."""
 
     async def target_changes(self, after: int | None) -> TargetChanges:
-        """Return what changed among targets after `after`; all of it for None."""
+        """Return the changes of targets after version `after`; all targets for None."""
 
     async def rows(self, table: str) -> tuple[list[SavedRow], float]:
-        """Return the node's own rows in `table`, and the platform's clock."""
+        """Return the nodes' own rows in `table`, and the platform's clock in seconds."""
 
     async def write(self, table: str, writes: Sequence[RowWrite]) -> WriteOutcome:
-        """Write rows, all or none."""
+        """Write rows atomically."""
 
 
 # --- callers -----------------------------------------------------------------
 
 
 class ParsedRequest(NamedTuple):
-    """A caller's request, as far as the node must understand it.
+    """A caller's request, parsed as far as the node needs it.
 
-    `timeout_seconds` is how long the caller waits for the answer, None when not given.
-    `resume_after` names the last event that the caller has.
+    `timeout_seconds` is how long the caller waits for the response, None if not given.
+    `resume_after` is the id of the last event that the caller received, empty for none.
     """
 
     request_id: str
@@ -181,32 +183,33 @@
 
 
 class InvalidRequest(NamedTuple):
-    """Why a request cannot be understood."""
+    """A request that cannot be parsed; `detail` is the reason."""
 
     detail: str
 
 
 class CallerDialect(Protocol):
-    """How callers speak."""
+    """The wire protocol for callers."""
 
     def read(self, request: Request) -> ParsedRequest | InvalidRequest:
-        """Return what is asked."""
+        """Parse a request."""
 
     def answer_headers(self, head: ResponseHead, request_id: str) -> Headers:
-        """Return the headers of a target's answer that the caller gets."""
+        """Return the response headers to the caller for a target's response `head`."""
 
     def refusal_headers(self, request_id: str, retry_after: float | None) -> Headers:
-        """Return the headers of an answer of the node's own."""
+        """Return the response headers of a refusal by the node; `retry_after` is in seconds."""
 
 
 # --- targets -----------------------------------------------------------------
 
 
 class TransferPlan(NamedTuple):
-    """Kept parts that an engine should fetch, and those it should save.
+    """The stored parts that an engine should fetch, and the parts that it should save.
 
-    Each list has one entry a part of the prompt: a store's address, or empty.
-    `until` ends the fetch, in ms on the engines' clock; None is without end.
+    `sources` and `saves` have one entry for each part of the prompt: the address of a store
+    host, or empty.  `until` is the deadline of the fetch in ms on the engines' clock, None for no
+    deadline.
     """
 
     sources: tuple[str, ...] = ()
@@ -215,7 +218,7 @@
 
 
 class OutgoingRequest(NamedTuple):
-    """One sending of a request to one target; `seconds` is the time it has left."""
+    """One send of a request to one target; `seconds` is the time left until its deadline."""
 
     parsed: ParsedRequest
     instance: Instance
@@ -229,12 +232,12 @@
 
 
 class ResponseInfo(NamedTuple):
-    """What an answer's head tells beside its status.
+    """What the head of a target's response contains besides the status.
 
-    `not_started` is proof that the request has not run and will not.
-    `misdirected` says that the target is not the instance, or has not the
-    weights, that were expected; `instance` is who answered, where it said so.
-    `notice` is what it says of itself.
+    `not_started` means that the request provably has not run and will not.  `misdirected` means
+    that the target is not the expected instance, or does not have the expected weights.
+    `instance` is the id of the responding instance, empty if not given.  `notice` is what the
+    target reports about itself.
     """
 
     not_started: bool
@@ -245,7 +248,7 @@
 
 
 class WeightsOrder(NamedTuple):
-    """An order to load weights, with the holder of the duty and its fence."""
+    """An order to load weights, with the duty's holder and its fencing token `fence`."""
 
     instance: Instance
     model: str
@@ -256,9 +259,10 @@
 
 
 class OrderOutcome(NamedTuple):
-    """How an engine took an order: `taken` or `holds` already; else why not.
+    """The response of an engine to an order.
 
-    `notice` is what it says of itself beside.
+    `taken` means that it accepted the order, `holds` that it already has the weights; otherwise
+    `detail` is the reason.  `notice` is what the engine reports about itself.
     """
 
     taken: bool
@@ -269,10 +273,10 @@
 
 
 class EngineReport(NamedTuple):
-    """What an engine says of itself; a view some hundred ms old.
+    """An engine's report of its state, which may be some hundred ms old.
 
-    `orders` counts the orders it took, `clock` is the engines' clock in ms.
-    `notice` has what both the report and its answer's head tell.
+    `orders` counts the orders it accepted, `clock` is the engines' clock in ms.  `notice`
+    combines what the report and the response head contain.
     """
 
     versions: Mapping[str, int]
@@ -285,7 +289,7 @@
 
 
 class StoredPart(NamedTuple):
-    """A part that a store keeps whole under a salt."""
+    """A part that a store host holds completely, under a salt."""
 
     salt: str
     id: str
@@ -293,10 +297,10 @@
 
 
 class StoreChanges(NamedTuple):
-    """What changed at a store since the last call.
+    """Changes of the contents of a store host since the last call.
 
-    `life` numbers the store's lives; with `gap` some changes are unknown.
-    `clock` is the engines' clock in ms, None when it was not told.
+    `life` numbers the processes of the store host; it changes with each restart.  With `gap` some
+    changes are missing.  `clock` is the engines' clock in ms, None if not given.
     """
 
     life: int
@@ -308,7 +312,7 @@
 
 
 class StoreContents(NamedTuple):
-    """Everything that a store keeps whole, and what broke off on its way there."""
+    """All parts that a store host holds completely, and those whose transfer failed."""
 
     life: int
     following: int
@@ -318,28 +322,28 @@
 
 
 class TargetDialect(Protocol):
-    """How targets speak.  Calls raise `RemoteCallError`."""
+    """The wire protocol for targets.  Calls raise `RemoteCallError`."""
 
-    def request(self, send: OutgoingRequest) -> bytes:
-        """Return the whole request to send."""
+    def request(self, outgoing: OutgoingRequest) -> bytes:
+        """Return the complete request as bytes."""
 
-    def answers(self, send: OutgoingRequest, head: ResponseHead) -> bool:
-        """Return whether `head` answers `send`, not an earlier request."""
+    def answers(self, outgoing: OutgoingRequest, head: ResponseHead) -> bool:
+        """Return whether `head` is the response to `outgoing`, not to an earlier request."""
 
-    def response_info(self, send: OutgoingRequest, head: ResponseHead) -> ResponseInfo:
-        """Return what the head of an answer to `send` tells."""
+    def response_info(self, outgoing: OutgoingRequest, head: ResponseHead) -> ResponseInfo:
+        """Return the content of the head of a response to `outgoing`."""
 
     async def order(self, order: WeightsOrder) -> OrderOutcome:
-        """Give an order."""
+        """Send an order to load weights to an engine."""
 
     async def report(self, instance: Instance) -> EngineReport:
-        """Ask an engine for its state."""
+        """Request the state of an engine."""
 
     async def store_changes(self, store: StoreTraits, since: int, wait: float) -> StoreChanges:
-        """Return what changed at a store after `since`."""
+        """Return the changes of a store host after `since`, waiting up to `wait` seconds."""
 
     async def store_contents(self, store: StoreTraits) -> StoreContents:
-        """Return everything that a store keeps."""
+        """Return all parts that a store host holds."""
 
     async def free(self, store: StoreTraits, parts: Sequence[tuple[str, Part]], life: int) -> bool:
-        """Free parts of a store; False when it refused."""
+        """Free parts, given as (salt, part), at a store host; return False if it refused."""
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -13,7 +13,7 @@
 from .call import Call, Refused, ServingContext
 from .ports import OutgoingRequest, ResponseInfo
 
-__all__ = ["Attempts", "AttemptFailed", "send_once"]
+__all__ = ["AttemptFailed", "Attempts", "send_once"]
 
 MAX_CONNECT_FAILURES = 4
 """Failed connections to targets after which a request is refused."""
