--- a/bench/choice.py
+++ b/bench/choice.py
@@ -103,8 +103,8 @@
 def _views(fleet: Fleet, catalog: Catalog, rng: random.Random) -> Views:
     now = asyncio.get_running_loop().time()
     views = Views()
-    views.take_catalog(catalog)
-    views.take_weights(NamedWeights(MODEL, 1), now)
+    views.update_catalog(catalog)
+    views.update_weights(NamedWeights(MODEL, 1), now)
     names = [f"engine-{number}" for number in range(fleet.engines)]
     entries = [
         Instance(name, _SERVICE, f"10.1.0.{n}:1", _centre(n), slots=24, versions={MODEL: 1})
--- a/bench/lab/node.py
+++ b/bench/lab/node.py
@@ -128,9 +128,9 @@
     def configure(self, catalog: Catalog, instances: list[Instance], model: str) -> None:
         """Know the catalog and the targets."""
         now = asyncio.get_running_loop().time()
-        self.views.take_catalog(catalog)
-        self.views.take_weights(NamedWeights(model, 1), now)
-        self.views.heard_clock(0, now)
+        self.views.update_catalog(catalog)
+        self.views.update_weights(NamedWeights(model, 1), now)
+        self.views.record_engine_clock(0, now)
         for instance in instances:
             self.views.registry.heard(instance, now)
         for view in self.views.store_index.views:
--- a/packages/node/src/fielddrift_node/serving/feeds.py
+++ b/packages/node/src/fielddrift_node/serving/feeds.py
@@ -132,7 +132,7 @@
         """Return the source in another data centre, for the reader of this data centre."""
         neighbours = self._neighbours
         max_age = stale_seconds(self._max_staleness_seconds)
-        if self._views.reading(now).age > max_age and not self._backoff.failing:
+        if self._views.read_state(now).age > max_age and not self._backoff.failing:
             # The remote copy is overdue. This node reads the platform itself, as other nodes copy
             # from it.
             return Source("")
--- a/packages/node/src/fielddrift_node/serving/gateway.py
+++ b/packages/node/src/fielddrift_node/serving/gateway.py
@@ -50,7 +50,7 @@
             return
         trace = Trace()
         loop = asyncio.get_running_loop()
-        self._context.views.look(loop.time())
+        self._context.views.detect_pause(loop.time())
         self._context.views.load.add(loop.time())
         try:
             call = await self._resolve(parsed, trace)
@@ -115,7 +115,7 @@
             if not self._context.views.stale.is_set():
                 raise
         # This process was paused, so its views may be outdated.
-        await self._context.views.refreshed(_REFRESH_TIMEOUT_SECONDS)
+        await self._context.views.wait_until_refreshed(_REFRESH_TIMEOUT_SECONDS)
         return self._build_call(parsed, trace)
 
     def _build_call(self, parsed: ParsedRequest, trace: Trace) -> Call:
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -304,7 +304,7 @@
     def _record_weights(self, call: Call, model: str, weights: int | None, now: float) -> None:
         """Record in the trace the weights of a send, and for how long they have been outdated."""
         trace = call.trace
-        naming = None if weights is None else self._context.views.outdating(model, weights)
+        naming = None if weights is None else self._context.views.first_superseding(model, weights)
         trace.weights = weights
         trace.outdated_by = None if naming is None else naming.version
         trace.outdated_seconds = 0.0 if naming is None else now - naming.at
@@ -428,4 +428,4 @@
         prompt = call.parsed.prompt
         if info.weights is None or prompt is None:
             return
-        self._context.views.saw_weights(outgoing.instance.name, prompt.model, info.weights)
+        self._context.views.record_weights(outgoing.instance.name, prompt.model, info.weights)
--- a/packages/node/src/fielddrift_node/serving/heartbeats.py
+++ b/packages/node/src/fielddrift_node/serving/heartbeats.py
@@ -100,7 +100,7 @@
         if views.workload.update_node(reporter, burdens, now):
             # Only then has capacity been freed; waiting requests evaluate all engines again.
             views.service_queues.wake_all()
-        views.heard_ages(heartbeat.named_ages, now)
+        views.record_version_ages(heartbeat.named_ages, now)
         views.links.update_node(reporter, heartbeat.moves, now)
         views.lateness.merge_reported(heartbeat.lateness, now)
         for name in heartbeat.left:
@@ -110,7 +110,7 @@
             views.loading.record_reported(name, until, remote=is_remote)
         for instance, model, version in heartbeat.weights:
             if version > views.weights.get((instance, model), 0):
-                views.saw_weights(instance, model, version)
+                views.record_weights(instance, model, version)
                 views.loading.ended(instance)
 
     def _base_heartbeat(self, relation: Relation, leaving: bool) -> Heartbeat:
@@ -126,7 +126,7 @@
             catalog=0 if views.catalog is None else views.catalog.version,
             named=dict(views.named),
             named_ages=views.named_times.ages(now),
-            reading=views.reading(now),
+            reading=views.read_state(now),
             left=self._leaving_slice(),
             burdens=self._extra_entries(),
         )
--- a/packages/node/src/fielddrift_node/serving/kept.py
+++ b/packages/node/src/fielddrift_node/serving/kept.py
@@ -10,7 +10,7 @@
 
 from .call import Call
 from .ports import TransferPlan
-from .views import FETCH_SECONDS, Views
+from .views import MAX_FETCH_SECONDS, Views
 
 __all__ = ["PartTransferPlanner", "StoredPartLookup", "salt_of"]
 
@@ -131,7 +131,7 @@
         timeout = max(
             spare, _MIN_FETCH_SECONDS, _FETCH_TIMEOUT_FACTOR * choice.fetch_plan.fetch_seconds
         )
-        return self._views.until(now + min(FETCH_SECONDS, timeout))
+        return self._views.to_engine_clock(now + min(MAX_FETCH_SECONDS, timeout))
 
     def _choose_saves(
         self,
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -37,7 +37,7 @@
 from .sharing import PeerClient, PeerHandler
 from .store_tracker import StoreTracker
 from .target_feed import TargetFeed
-from .views import PAUSE_SECONDS, Views
+from .views import PAUSE_THRESHOLD_SECONDS, Views
 
 __all__ = ["Dialects", "ServingNode"]
 
@@ -91,7 +91,7 @@
         self._platform = platform
         self._rng = rng
         self._client = client
-        self._views = Views(began_at=asyncio.get_running_loop().time())
+        self._views = Views(started_at=asyncio.get_running_loop().time())
         self._metrics = Metrics()
         self._leaving = False
         self._active: bool | None = None
@@ -330,12 +330,12 @@
         while True:
             await asyncio.sleep(_TICK_INTERVAL_SECONDS)
             delay = self._views.tick(loop.time(), rest=_TICK_INTERVAL_SECONDS)
-            if delay > PAUSE_SECONDS:
+            if delay > PAUSE_THRESHOLD_SECONDS:
                 _log.warning("this process was paused", seconds=round(delay, 2))
                 self._operators.again()
                 self._targets.again()
             self._check_store_era(loop.time())
-            for data_centre in self._views.note_evacuations(loop.time()).ended:
+            for data_centre in self._views.apply_evacuations(loop.time()).ended:
                 _log.warning("evacuation held no longer", data_centre=data_centre)
             self._update_status()
             self._views.nodes = self._neighbours.sharing(loop.time())
@@ -388,8 +388,8 @@
         metrics.platform_calls.set(self._platform.calls)
         metrics.store_era.set(self._era or 0)
         metrics.unreadable_rows.set(self._platform.unreadable)
-        metrics.operators_age.set(min(now - views.operators_at, _MAX_AGE_SECONDS))
-        metrics.targets_age.set(min(now - views.targets_at, _MAX_AGE_SECONDS))
+        metrics.operators_age.set(min(now - views.operators_read_at, _MAX_AGE_SECONDS))
+        metrics.targets_age.set(min(now - views.targets_read_at, _MAX_AGE_SECONDS))
 
     async def _free(self) -> None:
         """Periodically free outdated cached parts; only the coordinator node does so."""
--- a/packages/node/src/fielddrift_node/serving/operator_feed.py
+++ b/packages/node/src/fielddrift_node/serving/operator_feed.py
@@ -133,7 +133,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         # Whose own reading is old seems to hang: others rely on it once it has read.
-        old = began - self._views.operators_at > _OLD_SECONDS
+        old = began - self._views.operators_read_at > _OLD_SECONDS
         at_once = hurry or old or self._after is None or self._backoff.failing
         news = await self._ask(0.0 if at_once else OPERATORS_POLL_SECONDS)
         if news is None:
@@ -146,8 +146,8 @@
         self._views.evacuations.read(news.evacuations, news.version, loop.time())
         self._evacuations_row = max(self._evacuations_row, news.version)
         self._take(news.catalog, news.weights, _Origin("platform", loop.time() - began))
-        self._views.operators_at = loop.time()
-        self._views.current()
+        self._views.operators_read_at = loop.time()
+        self._views.mark_current()
 
     def _rely_on(self, reader: Neighbour) -> None:
         """Take the age of what a reader in another data centre has, once this node has it too."""
@@ -156,7 +156,7 @@
         now = asyncio.get_running_loop().time()
         # The age leaves out the wait that is due to a call for these rows.
         read_at = now - self._reading_of(reader, now).age - OPERATORS_POLL_SECONDS
-        self._views.operators_at = max(self._views.operators_at, read_at)
+        self._views.operators_read_at = max(self._views.operators_read_at, read_at)
 
     async def _ask(self, wait: float) -> OperatorChanges | None:
         """Return what the platform tells, None for a long poll that fell silent."""
@@ -230,10 +230,10 @@
         sight = {
             "told_by": origin.name,
             "polled": _rounded(origin.seconds),
-            "age": _rounded(now - views.operators_at),
+            "age": _rounded(now - views.operators_read_at),
         }
         changed = False
-        if catalog is not None and views.take_catalog(catalog):
+        if catalog is not None and views.update_catalog(catalog):
             assert views.catalog is not None
             _log.info(
                 "catalog taken",
@@ -243,7 +243,7 @@
             )
             changed = True
         for named in weights:
-            if views.take_weights(named, now):
+            if views.update_weights(named, now):
                 known = views.known_seconds(named.model, named.version, now)
                 _log.info(
                     "weights named",
@@ -253,7 +253,7 @@
                     **sight,
                 )
                 changed = True
-        evacuations = views.note_evacuations(now)
+        evacuations = views.apply_evacuations(now)
         for data_centre in evacuations.begun:
             _log.warning("data centre evacuated", data_centre=data_centre, **sight)
             changed = True
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -234,11 +234,11 @@
         prompt, traits = call.parsed.prompt, call.service.engine
         assert prompt is not None and traits is not None
         views = self._context.views
-        placeable = views.placeable(call.service.name, prompt.model, now)
+        available = views.candidates(call.service.name, prompt.model, now)
         max_outdated = self._context.settings.bounds.weights * _MAX_OUTDATED_FRACTION
         candidates = [
             _Candidate(engine, instance, views.workload.burden_of(engine.name, now))
-            for engine in placeable.engines
+            for engine in available.engines
             if engine.name not in tried and engine.outdated <= max_outdated
             if (instance := views.registry.get(engine.name)) is not None
             if not wanted.sends or self._context.gate.allows(call.service, instance, now)
@@ -257,7 +257,7 @@
             data_centre=self._context.settings.data_centre,
             rng=self._context.rng,
         )
-        return [self._engine_state(call, c, lookup, placeable.soon, now) for c in sampled]
+        return [self._engine_state(call, c, lookup, available.loading_next, now) for c in sampled]
 
     def _can_prefill_soon(self, call: Call, candidate: _Candidate) -> bool:
         slowdown = self._context.views.pace.factor(call.service.name, candidate.engine.name)
--- a/packages/node/src/fielddrift_node/serving/rollout_runner.py
+++ b/packages/node/src/fielddrift_node/serving/rollout_runner.py
@@ -230,9 +230,9 @@
             self._notices.heard(instance, error.notice)
             return None
         self._notices.heard(instance, report.notice)
-        self._views.heard_clock(report.clock, asyncio.get_running_loop().time())
+        self._views.record_engine_clock(report.clock, asyncio.get_running_loop().time())
         for model, version in report.versions.items():
-            self._views.saw_weights(name, model, version)
+            self._views.record_weights(name, model, version)
         return report
 
     async def _order(self, name: str, model: str, wanted: int, orders: int | None) -> None:
@@ -262,7 +262,7 @@
         )
 
     def _arrived(self, name: str, model: str, version: int) -> None:
-        self._views.saw_weights(name, model, version)
+        self._views.record_weights(name, model, version)
         self._views.loading.ended(name)
         _log.info("weights loaded", target=name, model=model, version=version)
         self._announce()
--- a/packages/node/src/fielddrift_node/serving/sharing.py
+++ b/packages/node/src/fielddrift_node/serving/sharing.py
@@ -149,7 +149,7 @@
         )
 
     def _kept(self, requests: list[str]) -> list[StoreCopy]:
-        clock = self._views.until(asyncio.get_running_loop().time())
+        clock = self._views.to_engine_clock(asyncio.get_running_loop().time())
         copies = [self._store_copy(_parse_store_request(text), clock) for text in requests]
         return [copy for copy in copies if copy is not None]
 
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -17,7 +17,7 @@
 from .metrics import Metrics
 from .ports import RemoteCallError, TargetDialect
 from .sharing import PeerClient, StoreCopy, StoreCopyRequest
-from .views import FETCH_SECONDS, Views
+from .views import MAX_FETCH_SECONDS, Views
 
 __all__ = ["StoreTracker"]
 
@@ -34,7 +34,7 @@
 that come meanwhile are read anew."""
 _LISTENER_KEY = "stores"
 """What a data centre's listener is chosen for: one node hears all store hosts."""
-_FREE_AFTER_SECONDS = FETCH_SECONDS + 3.0
+_FREE_AFTER_SECONDS = MAX_FETCH_SECONDS + 3.0
 """Parts are freed when no engine has had their weights for so long: the last fetch of
 them is surely over then."""
 _FREED_AT_ONCE = 500
@@ -246,7 +246,7 @@
             view.listed(copy.life, copy.following, copy.held)
         elif not all(view.apply(change) for change in copy.changes):
             view.unknown()
-        self._views.heard_clock(copy.clock, asyncio.get_running_loop().time())
+        self._views.record_engine_clock(copy.clock, asyncio.get_running_loop().time())
 
     # --- one store --------------------------------------------------------------
 
@@ -259,7 +259,7 @@
             [(held.salt, held.id, held.tokens) for held in listed.held],
         )
         view.received_at = now
-        self._views.heard_clock(listed.clock, now)
+        self._views.record_engine_clock(listed.clock, now)
         _log.info(
             "store listed",
             store=view.traits.address,
@@ -289,7 +289,7 @@
         )
         view.apply(change)
         view.received_at = now
-        self._views.heard_clock(events.clock, now)
+        self._views.record_engine_clock(events.clock, now)
 
     # --- freeing --------------------------------------------------------------
 
--- a/packages/node/src/fielddrift_node/serving/target_feed.py
+++ b/packages/node/src/fielddrift_node/serving/target_feed.py
@@ -115,7 +115,7 @@
         self._give_up(chosen.name)
         if not self.is_local(chosen):
             # Who relies on this node judges what it has by the age that it came with.
-            self._views.targets_at = max(self._views.targets_at, now - reading.age)
+            self._views.targets_read_at = max(self._views.targets_read_at, now - reading.age)
         return True
 
     def _give_up(self, told_by: str, *, away: bool = False) -> None:
@@ -182,7 +182,7 @@
         self._after = news.version
         self._views.targets_row = max(self._views.targets_row, news.version)
         self._log_changes(before, "platform")
-        self._views.targets_at = now
+        self._views.targets_read_at = now
         self._copied = None
         if registry.serial != serial:
             self._on_change()
--- a/tests/target_views.py
+++ b/tests/target_views.py
@@ -129,7 +129,7 @@
             self.failed_at = now
             raise RemoteCallError("store: status 503")
         # Whose other reading hangs is not relied on; here it goes as this one does.
-        self.views.operators_at = now
+        self.views.operators_read_at = now
         before = self.lists
         news = self.fleet.store.news(after)
         gone = before - {e.name for e in news.entries} if news.whole else before & {*news.ended}
--- a/tests/test_begin_watch.py
+++ b/tests/test_begin_watch.py
@@ -28,7 +28,7 @@
 
     async def _waits(self, bound: float) -> bool:
         views = Views()
-        views.take_weights(NamedWeights("m", 2), self.loop.time() - _NAMED_BEFORE)
+        views.update_weights(NamedWeights("m", 2), self.loop.time() - _NAMED_BEFORE)
         watch = StaleWeightsTimeout(views=views, model="m", weights=1, bound=bound)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(_PATIENCE) as limit:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -216,7 +216,7 @@
         call = asyncio.ensure_future(ask(node, "/chat/1", **prompt()))
         await eventually(lambda: len(views.service_queues.of("engines").queue) == 1)
         views.evacuations.read(news("a"), 1 << 40, now)
-        views.note_evacuations(now)
+        views.apply_evacuations(now)
         for name in ("e-a", "e-b"):
             views.workload.end(name, "full")
         views.service_queues.wake_all()
--- a/tests/test_limit_share.py
+++ b/tests/test_limit_share.py
@@ -125,7 +125,7 @@
     """A data centre without a node that is heard leaves its limited targets to another one's."""
 
     def setUp(self) -> None:
-        self.views = Views(began_at=0.0)
+        self.views = Views(started_at=0.0)
         me = Neighbour("n1", 1, "b", "h:1", "h:2", "h:3")
         self.neighbours = Neighbours(me=me)
         self.neighbours.update_self(serving=True, load=1.0)
@@ -153,7 +153,7 @@
         self.assertEqual(self.wait("d"), float("inf"))
 
     def test_a_node_that_has_just_started_owns_nothing(self) -> None:
-        self.views = Views(began_at=9.5)
+        self.views = Views(started_at=9.5)
         self.views.limits.named("t", 1.0, 9.0)
         self.gate = LimitGate(views=self.views, neighbours=self.neighbours)
         self.assertEqual(self.wait("b"), float("inf"))
--- a/tests/test_named_rows.py
+++ b/tests/test_named_rows.py
@@ -98,11 +98,11 @@
         )
 
     def hears(self, version: int, seconds_ago: float = 0.0) -> None:
-        self.views.take_weights(NamedWeights("m", version), _now() - seconds_ago)
+        self.views.update_weights(NamedWeights("m", version), _now() - seconds_ago)
 
     def begins(self) -> asyncio.Task[None]:
         """Start reading, as a node does whose operators' rows were read."""
-        self.views.take_catalog(_catalog())
+        self.views.update_catalog(_catalog())
         self.rows.schedule_save()
         return asyncio.ensure_future(self.rows.load())
 
@@ -150,7 +150,7 @@
         # it.  Cause: the saving waited for the duty's turn.
         for node in (Node(self.table, reads=False), Node(self.table, reads=True)):
             node.hears(2)
-            node.views.take_catalog(_catalog())
+            node.views.update_catalog(_catalog())
             node.rows.schedule_save()
             running = asyncio.ensure_future(node.rows.run())
             for _ in range(20):
@@ -172,7 +172,7 @@
     @in_virtual_time
     async def test_a_saving_that_fails_is_repeated(self) -> None:
         node = Node(self.table, reads=True)
-        node.views.take_catalog(_catalog())
+        node.views.update_catalog(_catalog())
         running = asyncio.ensure_future(node.rows.run())
         # Nothing was named before its start: what is under way here is no restoring.
         node.rows.schedule_save()
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -27,8 +27,8 @@
 def own_reading(*, targets: float, operators: float) -> ReadState:
     """Return what a node tells of its readings, made so many seconds ago."""
     views = Views()
-    views.targets_at, views.operators_at = -targets, -operators
-    return views.reading(0.0)
+    views.targets_read_at, views.operators_read_at = -targets, -operators
+    return views.read_state(0.0)
 
 
 class TestLives(unittest.TestCase):
--- a/tests/test_new_reader.py
+++ b/tests/test_new_reader.py
@@ -60,7 +60,7 @@
     async def _takes_over(self) -> None:
         loop = asyncio.get_running_loop()
         store, views = Store(), Views()
-        views.take_weights(NamedWeights("m", 0), loop.time())
+        views.update_weights(NamedWeights("m", 0), loop.time())
         neighbours = Neighbours(me=_neighbour("me"))
         neighbours.update_self(serving=True, load=0.0)
         tools = FeedTools(
@@ -81,9 +81,9 @@
         while not store.asked_at:
             await asyncio.sleep(0.05)
         # It reads the targets as well, in the same time.
-        views.targets_at = loop.time()
+        views.targets_read_at = loop.time()
         await asyncio.sleep(0.3)
-        overdue = views.reading(loop.time()).age
+        overdue = views.read_state(loop.time()).age
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.assertEqual(views.named, {"m": 1})
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -105,17 +105,17 @@
 class TestNamedWeights(unittest.TestCase):
     def test_a_node_that_was_away_counts_from_when_others_heard(self) -> None:
         views = Views()
-        views.take_weights(NamedWeights("m", 3), 100.0)
-        views.heard_ages([VersionAge("m", 3, 4.0)], 100.2)
+        views.update_weights(NamedWeights("m", 3), 100.0)
+        views.record_version_ages([VersionAge("m", 3, 4.0)], 100.2)
         self.assertAlmostEqual(views.outdated_seconds("m", 2, 100.2), 4.0)
-        views.heard_ages([VersionAge("m", 3, 0.1)], 100.3)
+        views.record_version_ages([VersionAge("m", 3, 0.1)], 100.3)
         self.assertAlmostEqual(views.outdated_seconds("m", 2, 100.3), 4.1)
         self.assertEqual(views.outdated_seconds("m", 3, 100.3), 0.0)
 
     def test_each_version_outdates_those_before_it_from_its_own_naming(self) -> None:
         views = Views()
-        views.take_weights(NamedWeights("m", 2), 100.0)
-        views.take_weights(NamedWeights("m", 3), 104.0)
+        views.update_weights(NamedWeights("m", 2), 100.0)
+        views.update_weights(NamedWeights("m", 3), 104.0)
         self.assertAlmostEqual(views.outdated_seconds("m", 1, 110.0), 10.0)
         self.assertAlmostEqual(views.outdated_seconds("m", 2, 110.0), 6.0)
 
@@ -128,9 +128,9 @@
         views = Views()
         for version in (2, 3):
             for engine in ("e1", "e2", "e3"):
-                views.saw_weights(engine, "m", version)
-        views.saw_weights("e1", "m", 4)
-        views.saw_weights("e2", "m", 2)
+                views.record_weights(engine, "m", version)
+        views.record_weights("e1", "m", 4)
+        views.record_weights("e2", "m", 2)
         self.assertEqual(list(views.weights), [("e2", "m"), ("e3", "m"), ("e1", "m")])
         self.assertEqual(views.weights[("e2", "m")], 3)
 
@@ -138,7 +138,7 @@
         first, late = NamingTimes(), Views()
         first.heard("m", 2, 100.0)
         first.heard("m", 3, 104.0)
-        late.take_weights(NamedWeights("m", 3), 205.0)
-        late.heard_ages(first.ages(105.0), 205.0)
+        late.update_weights(NamedWeights("m", 3), 205.0)
+        late.record_version_ages(first.ages(105.0), 205.0)
         self.assertAlmostEqual(late.outdated_seconds("m", 1, 205.0), 5.0)
         self.assertEqual(late.named, {"m": 3})
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -85,7 +85,7 @@
     def test_what_was_seen_of_an_earlier_life_is_not_known_of_the_next(self) -> None:
         views = self.views
         first = self._hear(1)
-        views.saw_weights(first.name, "m", 7)
+        views.record_weights(first.name, "m", 7)
         views.health.failed(first.name, 0.0)
         views.workload.begin(first.name, "r", int(PREFILL_TOKENS_PER_SECOND))
         views.loading.record_own(first.name, 9.0)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -28,7 +28,7 @@
 
 class JustStartedTest(unittest.TestCase):
     def test_only_a_moment_after_a_start_counts(self) -> None:
-        views = Views(began_at=100.0)
+        views = Views(started_at=100.0)
         self.assertTrue(views.just_started(101.0))
         self.assertFalse(views.just_started(104.0))
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -23,10 +23,10 @@
         for turns in range(_TURNS):
             with self.subTest(turns=turns):
                 views = Views()
-                waiting = asyncio.ensure_future(views.refreshed(60.0))
+                waiting = asyncio.ensure_future(views.wait_until_refreshed(60.0))
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
-                views.current()
+                views.mark_current()
                 for _ in range(turns):
                     await asyncio.sleep(0)
                 if waiting.cancel():
--- a/tests/test_weights_naming.py
+++ b/tests/test_weights_naming.py
@@ -56,7 +56,7 @@
     async def _named(self, nodes: list[RunningNode]) -> None:
         """Name version 2; return when all nodes know it and a row of the platform says when."""
         self.fleet.store.put("op", "version/m", {"model": "m", "version": 2})
-        await eventually(lambda: all(n.node.views.outdating("m", 1) for n in nodes))
+        await eventually(lambda: all(n.node.views.first_superseding("m", 1) for n in nodes))
         await eventually(lambda: bool(self.fleet.workers["e1"].orders))
         await eventually(lambda: self.fleet.store.get("namings", "m") is not None)
 
@@ -65,17 +65,17 @@
         for node in await self._nodes():
             views = node.node.views
             await eventually(lambda views=views: views.named == {"m": 2})
-            await eventually(lambda views=views: views.outdating("m", 1).at <= heard_at)
+            await eventually(lambda views=views: views.first_superseding("m", 1).at <= heard_at)
             # Nor does it count from much before the naming: calls to the store are all the error.
             calls = sum(clock.heard - clock.sent for clock in self.clocks)
-            self.assertGreater(views.outdating("m", 1).at, named_at - calls)
+            self.assertGreater(views.first_superseding("m", 1).at, named_at - calls)
 
     async def test_they_count_from_the_naming_not_from_their_start(self) -> None:
         # Only one node has heard of it: what it knows is exactly what was saved.
         before = await self.fleet.node("node-1")
         named_at = asyncio.get_running_loop().time()
         await self._named([before])
-        heard_at = before.node.views.outdating("m", 1).at
+        heard_at = before.node.views.first_superseding("m", 1).at
         await before.stop()
         await self._count_from(heard_at, named_at)
 
@@ -85,8 +85,10 @@
         named_at = asyncio.get_running_loop().time()
         await self._named(before)
         now = asyncio.get_running_loop().time()
-        heard_at = min(n.node.views.outdating("m", 1).at for n in before) - _HEARD_BEFORE_SECONDS
-        before[1].node.views.heard_ages((VersionAge("m", 2, now - heard_at),), now)
+        heard_at = (
+            min(n.node.views.first_superseding("m", 1).at for n in before) - _HEARD_BEFORE_SECONDS
+        )
+        before[1].node.views.record_version_ages((VersionAge("m", 2, now - heard_at),), now)
         for node in before:
             await node.stop()
         calls = sum(clock.heard - clock.sent for clock in self.clocks)
