--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -1,8 +1,9 @@
-"""What a choice of an engine costs must not grow with nodes and stores.
+"""The cost of choosing an engine must not grow with the numbers of nodes and stores.
 
-Load: 60 engines and 28 store hosts before 80 nodes, some hundred requests a second.  Each
-engine asked for each store's lateness, which asked for all stores', and for what each
-node had told: 43 ms a request, and answers late from the first second on.
+Failure: with 60 engines, 28 store hosts, 80 nodes and some hundred requests per second, a
+choice took 43 ms, and responses were late from the first second on.  For each engine, the
+lateness of each store was computed from that of all stores, and the reports of all nodes
+were added up.
 """
 
 from __future__ import annotations
@@ -35,16 +36,16 @@
     async def test_lateness_is_worked_out_once(self) -> None:
         with mock.patch.object(
             Lateness, "by_store", autospec=True, side_effect=Lateness.by_store
-        ) as asked:
+        ) as method:
             await _choose(_LARGE)
-        self.assertEqual(asked.call_count, 1)
+        self.assertEqual(method.call_count, 1)
 
     async def test_each_link_is_asked_once(self) -> None:
         with mock.patch.object(
             LinkQueue, "wait", autospec=True, side_effect=LinkQueue.wait
-        ) as asked:
+        ) as method:
             await _choose(_LARGE)
-        self.assertLessEqual(asked.call_count, _LARGE.stores)
+        self.assertLessEqual(method.call_count, _LARGE.stores)
 
     async def test_no_more_engines_are_weighed_where_there_are_more(self) -> None:
         for engines in (60, 400, 800):
@@ -55,7 +56,7 @@
                 ) as priced,
             ):
                 await _choose(_LARGE._replace(engines=engines))
-                # With what stores keep, and without.
+                # Each engine is evaluated with and without fetching.
                 self.assertLessEqual(priced.call_count, 2 * MAX_CANDIDATES)
 
     async def test_an_engine_far_from_all_others_is_found_when_only_it_has_room(self) -> None:
@@ -87,8 +88,8 @@
         engines = [Instance(f"e{n}", "s", "h:1", f"dc{n % 4}") for n in range(400)]
         chosen = sample(engines, data_centre="dc1", rng=random.Random(1))
         self.assertEqual(len({e.name for e in chosen}), MAX_CANDIDATES)
-        near = sum(e.data_centre == "dc1" for e in chosen)
-        self.assertEqual(near, MAX_CANDIDATES * 3 // 4)
+        local = sum(e.data_centre == "dc1" for e in chosen)
+        self.assertEqual(local, MAX_CANDIDATES * 3 // 4)
 
     def test_where_all_are_far_the_sample_is_full(self) -> None:
         engines = [Instance(f"e{n}", "s", "h:1", "b") for n in range(100)]
@@ -114,12 +115,12 @@
     @given(_STEPS)
     def test_totals_are_what_adding_up_all_nodes_gives(self, steps: list[tuple]) -> None:  # type: ignore[type-arg]
         workload, now = Workload(), 0.0
-        told: dict[str, tuple[float, dict[str, Burden]]] = {}
+        reports: dict[str, tuple[float, dict[str, Burden]]] = {}
         runs: set[tuple[str, str]] = set()
         for kind, first, second in steps:
             if kind == "told":
                 workload.update_node(first, second, now)
-                told[first] = (now, second)
+                reports[first] = (now, second)
             elif kind == "begin":
                 workload.begin(first, second, 2, 5)
                 runs.add((first, second))
@@ -131,7 +132,7 @@
             for target in ("e1", "e2"):
                 own = sum(name == target for name, _ in runs)
                 expected = Burden(own, 2 * own, 5 * own)
-                for at, burdens in told.values():
+                for at, burdens in reports.values():
                     if now - at <= REPORT_TTL_SECONDS:
                         expected = expected + burdens.get(target, Burden())
                 self.assertEqual(workload.burden_of(target, now), expected)
@@ -145,13 +146,13 @@
 
     @given(st.dictionaries(st.sampled_from("abcd"), st.floats(0, 2), min_size=0, max_size=4))
     def test_lateness_is_what_comparing_each_with_the_others_gives(
-        self, seen: dict[str, float]
+        self, observed: dict[str, float]
     ) -> None:
         lateness = Lateness()
-        for store, seconds in seen.items():
+        for store, seconds in observed.items():
             lateness.observe(store, seconds, 0.0)
         known = lateness.own(0.0)
-        for store in seen:
+        for store in observed:
             others = [late for other, late in known.items() if other != store]
             expected = max(0.0, known[store] - min(others, default=0.0))
             self.assertAlmostEqual(lateness.by_store(0.0)[store], expected)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Routing, admission, retries, links and holding; and the bench's committed figures."""
+"""Routing, admission, retries, links, retention, and the committed figures of the bench."""
 
 from __future__ import annotations
 
@@ -94,11 +94,11 @@
                     self.assertGreater(busiest, 5.0, (nodes, policy))
 
     def _busiest(self, nodes: int, loads: list[int], policy: str) -> float:
-        """Return the busiest target's part over the mean, each node choosing once."""
+        """Return the ratio of the busiest target's requests to the mean, one choice per node."""
         counts: Counter[str] = Counter()
         for node in range(nodes * max(1, 400 // nodes)):
             rng = random.Random(node)
-            drawn = sample_targets(
+            sampled = sample_targets(
                 [target(n) for n in range(22)],
                 warm=(),
                 allowed=lambda t: True,
@@ -106,7 +106,7 @@
                 rng=rng,
             )
             views = [
-                view(int(t.name[1:]), load=Load(running=loads[int(t.name[1:])])) for t in drawn
+                view(int(t.name[1:]), load=Load(running=loads[int(t.name[1:])])) for t in sampled
             ]
             choice = POLICIES[policy].choose(RequestNeeds(8000, 32, CostWeights()), views, rng)
             assert choice is not None
@@ -115,22 +115,22 @@
 
     def test_a_draw_takes_few_and_the_warm_ones(self) -> None:
         targets = [target(n) for n in range(800)]
-        drawn = sample_targets(
+        sampled = sample_targets(
             targets,
             warm=[targets[5]],
             allowed=lambda t: t.name != "t7",
             sample=SAMPLE_SIZE,
             rng=random.Random(1),
         )
-        self.assertLessEqual(len(drawn), SAMPLE_SIZE + 1)
-        self.assertIn("t5", [t.name for t in drawn])
+        self.assertLessEqual(len(sampled), SAMPLE_SIZE + 1)
+        self.assertIn("t5", [t.name for t in sampled])
 
     def test_a_draw_finds_the_only_one_that_is_allowed(self) -> None:
         targets = [target(n) for n in range(800)]
-        drawn = sample_targets(
+        sampled = sample_targets(
             targets, warm=(), allowed=lambda t: t.name == "t7", sample=3, rng=random.Random(1)
         )
-        self.assertEqual([t.name for t in drawn], ["t7"])
+        self.assertEqual([t.name for t in sampled], ["t7"])
 
 
 class AdmissionTest(unittest.TestCase):
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -1,4 +1,4 @@
-"""What stores keep, where parts are saved and from where they are fetched."""
+"""Views of the stores' content, the choice of stores for saves, and fetch plans."""
 
 from __future__ import annotations
 
@@ -22,57 +22,57 @@
 
 
 class TestKeptChanges(unittest.TestCase):
-    """Nodes copy what changed at a store from the one that listens to it."""
+    """Nodes copy the changes at a store from the node that receives its events."""
 
     def setUp(self) -> None:
-        self.listener = StoreView(traits=SLOW)
-        self.listener.listed(7, 10, [("s", "aa", 100)])
+        self.receiver = StoreView(traits=SLOW)
+        self.receiver.listed(7, 10, [("s", "aa", 100)])
 
-    def _hear(self, since: int, following: int, part: str) -> None:
+    def _receive(self, since: int, following: int, part: str) -> None:
         change = KeptChange(since, following, (("s", part, 50),), ())
-        self.assertTrue(self.listener.apply(change))
+        self.assertTrue(self.receiver.apply(change))
 
     def test_a_copy_takes_the_changes_it_lacks(self) -> None:
         copy = StoreView(traits=SLOW)
         copy.listed(7, 10, [("s", "aa", 100)])
-        self._hear(10, 12, "bb")
-        self._hear(12, 15, "cc")
-        changes = self.listener.changes_since(copy.following)
+        self._receive(10, 12, "bb")
+        self._receive(12, 15, "cc")
+        changes = self.receiver.changes_since(copy.following)
         assert changes is not None
         for change in changes:
             self.assertTrue(copy.apply(change))
-        self.assertEqual((copy.held, copy.used), (self.listener.held, self.listener.used))
-        self.assertEqual(self.listener.changes_since(15), ())
+        self.assertEqual((copy.held, copy.used), (self.receiver.held, self.receiver.used))
+        self.assertEqual(self.receiver.changes_since(15), ())
 
     def test_a_copy_with_a_gap_is_told_that_changes_are_not_known(self) -> None:
-        self._hear(10, 12, "bb")
-        self.assertIsNone(self.listener.changes_since(9))
-        self.assertIsNone(self.listener.changes_since(11))
+        self._receive(10, 12, "bb")
+        self.assertIsNone(self.receiver.changes_since(9))
+        self.assertIsNone(self.receiver.changes_since(11))
         copy = StoreView(traits=SLOW)
         copy.listed(7, 9, [])
         self.assertFalse(copy.apply(KeptChange(10, 12, (), (("s", "aa"),))))
         self.assertEqual((copy.following, copy.held), (9, {}))
 
     def test_a_view_takes_nothing_from_one_that_is_behind(self) -> None:
-        self.assertFalse(self.listener.is_behind(7, 9))
-        self.assertFalse(self.listener.is_behind(7, 10))
-        self.assertTrue(self.listener.is_behind(7, 11))
-        self.assertTrue(self.listener.is_behind(8, 1))
+        self.assertFalse(self.receiver.is_behind(7, 9))
+        self.assertFalse(self.receiver.is_behind(7, 10))
+        self.assertTrue(self.receiver.is_behind(7, 11))
+        self.assertTrue(self.receiver.is_behind(8, 1))
 
     def test_old_changes_are_forgotten_not_invented(self) -> None:
         for number in range(10, 500):
-            self._hear(number, number + 1, f"p{number}")
-        self.assertIsNone(self.listener.changes_since(10))
-        self.assertEqual(len(self.listener.changes_since(499) or ()), 1)
+            self._receive(number, number + 1, f"p{number}")
+        self.assertIsNone(self.receiver.changes_since(10))
+        self.assertEqual(len(self.receiver.changes_since(499) or ()), 1)
 
 
 class TestPlacement(unittest.TestCase):
     def _choose(
-        self, sights: list[EngineState], holders: dict[str, list[Holder]], tokens_out: int = 10
+        self, engines: list[EngineState], holders: dict[str, list[Holder]], tokens_out: int = 10
     ) -> object:
         choice = choose_engine(
             PROMPT._replace(tokens_out=tokens_out),
-            sights,
+            engines,
             traits=ENGINE,
             data_centre="a",
             latency_goal=0.5,
@@ -81,7 +81,7 @@
         assert choice is not None
         return choice
 
-    def _sight(self, name: str, **extra: object) -> EngineState:
+    def _engine(self, name: str, **extra: object) -> EngineState:
         values: dict[str, object] = {
             "instance": instance(name),
             "burden": Burden(),
@@ -108,21 +108,21 @@
 
     def test_long_answers_go_to_engines_that_do_not_load_next(self) -> None:
         soon, other = (
-            self._sight("soon", loads_next=True),
-            self._sight("other", burden=Burden(3, 2000)),
+            self._engine("soon", loads_next=True),
+            self._engine("other", burden=Burden(3, 2000)),
         )
         self.assertEqual(self._choose([soon, other], {}, 80).instance.name, "other")  # type: ignore[attr-defined]
         self.assertEqual(self._choose([soon, other], {}, 10).instance.name, "soon")  # type: ignore[attr-defined]
 
     def test_the_lighter_engine_is_chosen_and_a_loading_one_only_alone(self) -> None:
-        light, heavy = self._sight("light"), self._sight("heavy", burden=Burden(3, 20_000))
+        light, heavy = self._engine("light"), self._engine("heavy", burden=Burden(3, 20_000))
         self.assertEqual(self._choose([heavy, light], {}).instance.name, "light")  # type: ignore[attr-defined]
-        loading = self._sight("loading", loading=True)
+        loading = self._engine("loading", loading=True)
         self.assertEqual(self._choose([loading, heavy], {}).instance.name, "heavy")  # type: ignore[attr-defined]
         self.assertEqual(self._choose([loading], {}).instance.name, "loading")  # type: ignore[attr-defined]
 
     def test_an_engine_where_the_first_event_would_come_too_late_is_none(self) -> None:
-        light, heavy = self._sight("light"), self._sight("heavy", burden=Burden(3, 20_000))
+        light, heavy = self._engine("light"), self._engine("heavy", burden=Burden(3, 20_000))
         needed = self._choose([light], {}).seconds  # type: ignore[attr-defined]
         late = light._replace(left=needed * 0.9)
         self.assertEqual(self._choose([late, heavy], {}).instance.name, "heavy")  # type: ignore[attr-defined]
@@ -140,17 +140,17 @@
         )
 
     def test_an_engine_that_still_has_the_parts_is_preferred(self) -> None:
-        cold, warm = self._sight("cold"), self._sight("warm", memory={"top", "leaf"})
+        cold, warm = self._engine("cold"), self._engine("warm", memory={"top", "leaf"})
         self.assertEqual(self._choose([cold, warm], {}).instance.name, "warm")  # type: ignore[attr-defined]
 
     def test_a_fetch_that_would_be_late_gives_way_to_reading(self) -> None:
         late = {"top": [Holder(SLOW, 1.0)], "leaf": [Holder(SLOW, 1.0)]}
-        choice = self._choose([self._sight("e")], late)
+        choice = self._choose([self._engine("e")], late)
         self.assertFalse(any(choice.fetch_plan.sources))  # type: ignore[attr-defined]
 
     def test_a_full_memory_counts(self) -> None:
-        full = self._sight("full", burden=Burden(5, 0, 60_000))
-        some = self._sight("some", burden=Burden(5, 2_000, 10_000))
+        full = self._engine("full", burden=Burden(5, 0, 60_000))
+        some = self._engine("some", burden=Burden(5, 2_000, 10_000))
         self.assertEqual(self._choose([full, some], {}).instance.name, "some")  # type: ignore[attr-defined]
 
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""How quick engines are is learned, and what is estimated, fetched and refused follows it."""
+"""The speed of engines is learned, and estimates, fetches and refusals follow it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     answer_tokens=9,
     seconds=16.0,
 )
-"""Engines at half of the speed that the estimates take for usual, from the first second on."""
+"""Engines at half the speed that the estimates assume, from the first second on."""
 
 
 class TestPace(unittest.TestCase):
@@ -43,35 +43,40 @@
         self.assertEqual(EngineSlowdowns().factor("s", "e"), 1.0)
 
     def test_a_service_that_is_slow_as_a_whole_is_known_for_engines_never_seen(self) -> None:
-        pace = EngineSlowdowns()
+        slowdowns = EngineSlowdowns()
         for number in range(150):
-            pace.observe("s", f"e{number % 10}", estimate=0.1, seconds=0.2)
-        self.assertAlmostEqual(pace.factor("s", "new"), 2.0, delta=0.4)
-        self.assertEqual(pace.factor("other", "e"), 1.0)
+            slowdowns.observe("s", f"e{number % 10}", estimate=0.1, seconds=0.2)
+        self.assertAlmostEqual(slowdowns.factor("s", "new"), 2.0, delta=0.4)
+        self.assertEqual(slowdowns.factor("other", "e"), 1.0)
 
     def test_one_slow_engine_among_usual_ones_is_told_apart(self) -> None:
-        pace, rng = EngineSlowdowns(), random.Random(1)
+        slowdowns, rng = EngineSlowdowns(), random.Random(1)
         for _ in range(1500):
             number = rng.randrange(10)
             noise = math.exp(rng.gauss(0.0, 0.5))
-            pace.observe(
+            slowdowns.observe(
                 "s", f"e{number}", estimate=0.1, seconds=noise * (0.3 if number == 0 else 0.1)
             )
-        self.assertGreater(pace.factor("s", "e0"), 1.9 * pace.factor("s", "e1"))
-        self.assertAlmostEqual(pace.factor("s", "e1"), 1.0, delta=0.4)
+        self.assertGreater(slowdowns.factor("s", "e0"), 1.9 * slowdowns.factor("s", "e1"))
+        self.assertAlmostEqual(slowdowns.factor("s", "e1"), 1.0, delta=0.4)
 
     def test_one_that_hung_counts_little(self) -> None:
-        pace = EngineSlowdowns()
-        pace.observe("s", "e", estimate=0.05, seconds=30.0)
-        self.assertLess(pace.factor("s", "e"), 1.3)
+        slowdowns = EngineSlowdowns()
+        slowdowns.observe("s", "e", estimate=0.05, seconds=30.0)
+        self.assertLess(slowdowns.factor("s", "e"), 1.3)
 
     def test_an_engine_at_half_speed_is_estimated_and_avoided_so(self) -> None:
         prompt = Prompt("m", (Part("a", 9000), Part("own", 1000)), 10_000, 20)
-        sights = [
+        engines = [
             EngineState(
-                Instance(name, "s", f"{name}:1", "a"), Burden(), 0.0, False, False, slowdown=pace
+                Instance(name, "s", f"{name}:1", "a"),
+                Burden(),
+                0.0,
+                False,
+                False,
+                slowdown=slowdown,
             )
-            for name, pace in (("slow", 2.0), ("usual", 1.0))
+            for name, slowdown in (("slow", 2.0), ("usual", 1.0))
         ]
         options = {
             "traits": _TRAITS,
@@ -79,19 +84,19 @@
             "latency_goal": 0.5,
             "holders": lambda *_: (),
         }
-        slow = choose_engine(prompt, sights[:1], **options)
+        slow = choose_engine(prompt, engines[:1], **options)
         assert slow is not None
         self.assertGreater(slow.seconds, 2 * 10_000 / PREFILL_TOKENS_PER_SECOND)
-        best = choose_engine(prompt, sights, **options)
+        best = choose_engine(prompt, engines, **options)
         assert best is not None
         self.assertEqual(best.instance.name, "usual")
 
 
 class TestSlowEngines(unittest.TestCase):
-    """All engines work at half of their speed from the first second on.
+    """All engines work at half the assumed speed from the first second on.
 
-    Without a learned pace a fourth of the worth was in time, and engines held twice what
-    they could read in time.
+    Without learned slowdowns, responses of a quarter of the total value were in time, and
+    engines held twice the prompts that they could prefill in time.
     """
 
     def test_more_is_in_time_than_with_the_speeds_taken_for_granted(self) -> None:
--- a/tests/test_platform_decisions.py
+++ b/tests/test_platform_decisions.py
@@ -1,4 +1,4 @@
-"""The smaller decisions of a serving node: targets, budgets, refusals, counts, events."""
+"""Smaller decisions of a serving node: targets, budgets, refusals, load counts, events."""
 
 from __future__ import annotations
 
@@ -68,33 +68,37 @@
 
 
 class TestOverload(unittest.TestCase):
-    """Who is sent away at once, and until when."""
+    """Which prompts are refused at once, and after how long their callers retry."""
 
     def setUp(self) -> None:
         self.rng = random.Random(3)
 
-    def _judge(
-        self, estimate: float, *, patience: float = 4.0, crowded: bool = True
+    def _delay(
+        self, estimate: float, *, time_left: float = 4.0, congested: bool = True
     ) -> float | None:
         return refusal_delay(
-            time_left=patience, estimate=estimate, latency_goal=0.5, congested=crowded, rng=self.rng
+            time_left=time_left,
+            estimate=estimate,
+            latency_goal=0.5,
+            congested=congested,
+            rng=self.rng,
         )
 
     def test_what_can_be_in_time_is_taken(self) -> None:
-        self.assertIsNone(self._judge(0.4))
+        self.assertIsNone(self._delay(0.4))
 
     def test_a_long_prompt_is_taken_where_nobody_waits(self) -> None:
-        self.assertIsNone(self._judge(0.9, crowded=False))
+        self.assertIsNone(self._delay(0.9, congested=False))
 
     def test_a_prompt_that_is_late_by_itself_is_not_sent_away_for_a_few_others(self) -> None:
         self.assertFalse(is_congested(queue_seconds=0.05, latency_goal=0.5))
         self.assertTrue(is_congested(queue_seconds=0.3, latency_goal=0.5))
 
     def test_one_that_would_be_late_comes_back_within_its_patience(self) -> None:
-        backs = [self._judge(1.2) or 0.0 for _ in range(50)]
-        self.assertLessEqual(max(backs), 4.0 / 3)
-        self.assertGreater(min(backs), 0.9)
-        self.assertGreater(max(backs) - min(backs), 0.3)
+        delays = [self._delay(1.2) or 0.0 for _ in range(50)]
+        self.assertLessEqual(max(delays), 4.0 / 3)
+        self.assertGreater(min(delays), 0.9)
+        self.assertGreater(max(delays) - min(delays), 0.3)
 
 
 class TestCounts(unittest.TestCase):
@@ -118,13 +122,13 @@
         self.assertEqual(queue.wait("s", 5.0), 0.0)
 
     def test_lateness_that_all_stores_share_is_not_a_link_s(self) -> None:
-        late = Lateness()
-        late.observe("s1", 0.5, 0.0)
-        late.observe("s2", 0.5, 0.0)
-        self.assertEqual(late.for_store("s1", 0.0), 0.0)
-        late.observe("s1", 2.0, 0.0)
-        self.assertGreater(late.for_store("s1", 0.0), 0.3)
-        self.assertLess(late.for_store("s1", 20.0), 0.01)
+        lateness = Lateness()
+        lateness.observe("s1", 0.5, 0.0)
+        lateness.observe("s2", 0.5, 0.0)
+        self.assertEqual(lateness.for_store("s1", 0.0), 0.0)
+        lateness.observe("s1", 2.0, 0.0)
+        self.assertGreater(lateness.for_store("s1", 0.0), 0.3)
+        self.assertLess(lateness.for_store("s1", 20.0), 0.01)
 
     def test_failures_fade_and_answers_count_against_them(self) -> None:
         health = TargetHealth()
@@ -160,7 +164,7 @@
                 data = data[size:]
             cutter = EventFramer(after=cutter.last)
             position = int(cutter.last or 0) // 3
-            # A target may send some events again that came before.
+            # A target may repeat some events.
             if position < count and rng.random() < 0.5:
                 position = max(0, position - repeated)
         self.assertEqual(out, b"".join(events))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""When weights count as outdated, who may order loads, and which engines load next."""
+"""Outdated weights, the lease of the rollout duty, and the order in which engines load."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     def test_a_successor_never_begins_within_a_turn_of_the_holder_s_last_order(
         self, skew: float, out: float, back: float, until: float, later: float
     ) -> None:
-        # Both read the platform's clock over calls that take any time each way.
+        # Both nodes read the platform's clock by requests with arbitrary delays in each direction.
         holder = StoreClock(100.0, 50.0, 50.0 + out + back)
         last_order_local = holder.local(100.0 + until)
-        # The platform's true clock at the holder's last order is at most `until`.
+        # At the holder's last order the platform's clock shows at most `until`.
         true_at_last = 100.0 + (last_order_local - (50.0 + out))
         self.assertLessEqual(true_at_last, 100.0 + until + 1e-6)
         read_at = 100.0 + later
--- a/tests/test_room_line.py
+++ b/tests/test_room_line.py
@@ -1,4 +1,4 @@
-"""Prompts wait at the nodes, not at engines whose memory is full."""
+"""Prompts wait in queues at the nodes while the memory of the engines is full."""
 
 from __future__ import annotations
 
@@ -15,53 +15,53 @@
 PROMPT = Prompt("m", (Part("a", 9000), Part("own", 3000)), 12_000, 100)
 
 
-def sight(name: str, memory: int, **known: object) -> EngineState:
+def engine(name: str, memory: int, **known: object) -> EngineState:
     values = {"failures": 0.0, "is_outdated": False, "loading": False, **known}
     instance = Instance(name, "s", f"{name}:1", "a")
     return EngineState(instance, Burden(3, 0, memory), **values)  # type: ignore[arg-type]
 
 
-def choose(*sights: EngineState, part: float | None = 1.0) -> EngineChoice | None:
+def choose(*engines: EngineState, part: float | None = 1.0) -> EngineChoice | None:
     return choose_engine(
         PROMPT,
-        sights,
+        engines,
         traits=TRAITS,
         data_centre="a",
         latency_goal=1.2,
-        holders=lambda sight, part: [],
+        holders=lambda state, part: [],
         memory_fraction=part,
     )
 
 
 class TestRoom(unittest.TestCase):
     def test_no_engine_is_sent_more_than_its_memory_holds(self) -> None:
-        full, other = sight("full", 60_000), sight("other", 50_000)
+        full, other = engine("full", 60_000), engine("other", 50_000)
         choice = choose(full, other)
         assert choice is not None
         self.assertEqual(choice.instance.name, "other")
         self.assertIsNone(choose(full))
 
     def test_an_idle_engine_takes_what_is_larger_than_its_memory(self) -> None:
-        self.assertIsNotNone(choose(sight("idle", 0), part=0.1))
+        self.assertIsNotNone(choose(engine("idle", 0), part=0.1))
 
     def test_an_engine_that_fails_is_not_taken_for_an_empty_one(self) -> None:
-        gone, full = sight("gone", 0, failures=0.25), sight("full", 60_000)
+        gone, full = engine("gone", 0, failures=0.25), engine("full", 60_000)
         self.assertIsNone(choose(gone, full))
         self.assertIsNotNone(choose(gone))
 
     def test_an_engine_that_loads_is_not_taken_for_an_empty_one(self) -> None:
-        self.assertIsNone(choose(sight("loads", 0, loading=True), sight("full", 60_000)))
+        self.assertIsNone(choose(engine("loads", 0, loading=True), engine("full", 60_000)))
 
 
 class TestLine(unittest.TestCase):
     def test_the_urgent_come_first_then_who_would_be_late_first(self) -> None:
         line = PromptQueue()
-        for waiter in (
+        for prompt in (
             WaitingPrompt("late", 1, 5.0, 10),
             WaitingPrompt("soon", 1, 4.0, 10),
             WaitingPrompt("urgent", 0, 9.0, 10),
         ):
-            line.add(waiter)
+            line.add(prompt)
         order = []
         while (first := line.head()) is not None:
             order.append(first.request)
--- a/tests/test_store_view_walk.py
+++ b/tests/test_store_view_walk.py
@@ -1,4 +1,8 @@
-"""Views of a store host, heard and copied, with events lost, lives lost and copies in any order."""
+"""Random walks over views of a store host, with lost events, restarts and copies in any order.
+
+Nodes receive a store's events or copy the view of another node.  Each view must match the
+store's content at the event that it has reached, and must never go back.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +23,14 @@
 NODES = 3
 SALT = "m.1."
 EXAMPLES = 20
-"""Of twenty walks each."""
+"""Examples, of twenty walks each."""
 _PARTS = 6
 _REMEMBERED = 8
-"""Events that the store remembers; who is further behind is told of a gap."""
+"""Events that the store keeps; a node that is further behind gets a gap."""
 
 
 class Node:
-    """A node's views, and what hands them on and takes them."""
+    """A node's views, with the handler that serves copies and the tracker that applies them."""
 
     def __init__(self) -> None:
         self.views = Views()
@@ -50,7 +54,7 @@
 
 
 class StoreViewWalk(Walk):
-    """One store, nodes that hear it, and nodes that copy from each other."""
+    """One store, nodes that receive its events, and nodes that copy from each other."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
@@ -62,7 +66,13 @@
         self.seen: list[tuple[int | None, int]] = [(None, 0)] * NODES
 
     def moves(self) -> list[Callable[[], None]]:
-        return [self.keep] * 4 + [self.free] * 2 + [self.hear] * 4 + [self.copy] * 4 + [self.die]
+        return (
+            [self.keep] * 4
+            + [self.free] * 2
+            + [self.receive] * 4
+            + [self.copy] * 4
+            + [self.restart]
+        )
 
     # --- the store ------------------------------------------------------------------
 
@@ -77,8 +87,8 @@
             del self.held[part]
             self._event("-", part, 0)
 
-    def die(self) -> None:
-        """Return empty, under a new life."""
+    def restart(self) -> None:
+        """Restart the store, empty, as a new process instance."""
         self.life += 1
         self.held, self.events = {}, []
         self.truth[(self.life, 0)] = {}
@@ -89,8 +99,8 @@
 
     # --- the nodes ------------------------------------------------------------------
 
-    def hear(self) -> None:
-        """Let a node list the store, or hear what came since."""
+    def receive(self) -> None:
+        """Let a node list the store, or receive the events since its last one."""
         view = self.rng.choice(self.nodes).view
         if not view.is_known:
             held = [(SALT, part, tokens) for part, tokens in self.held.items()]
@@ -104,13 +114,13 @@
             view.apply(KeptChange(view.following, len(self.events), added, dropped))
 
     def copy(self) -> None:
-        """Let a node copy from another, whose answer may be old by the time it is taken."""
+        """Let a node copy from another, whose response may be outdated when it is applied."""
         source, copier = self.rng.sample(self.nodes, k=2)
         view = copier.view
         ask = StoreCopyRequest(STORE.address, view.life, view.following)
         copy = source.handler._store_copy(ask, None)
         if self.rng.random() < 0.3:
-            self.rng.choice([self.keep, self.hear])()
+            self.rng.choice([self.keep, self.receive])()
             self.check()
         if copy is not None:
             with mock.patch("asyncio.get_running_loop"):
@@ -123,9 +133,9 @@
             assert view.life != life or view.following >= following, "a view went back"
             self.seen[number] = (view.life, view.following)
             if view.life is not None:
-                told = {part: tokens for (_, part), tokens in view.held.items()}
+                found = {part: tokens for (_, part), tokens in view.held.items()}
                 true = self.truth[(view.life, view.following)]
-                assert told == true, f"{view.life}/{view.following}: {told}, the store had {true}"
+                assert found == true, f"{view.life}/{view.following}: {found}, the store had {true}"
 
 
 class StoreViewWalkTest(unittest.TestCase):
--- a/tests/test_told_beliefs.py
+++ b/tests/test_told_beliefs.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other ends in time, however often it is told on."""
+"""Reported loads and latenesses expire in time, however many nodes report them."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 NODES = 7
 _HEARTBEAT_SECONDS = 0.15
 _TRAVEL_SECONDS = 0.03
-"""From one node's putting a heartbeat together to another's taking it: a busy event loop's lag."""
+"""Delay from building a heartbeat to processing it at another node, on a busy event loop."""
 _NEAR = Relation(near=True, self_active=True, peer_active=True)
 
 
-class ToldNode:
-    """A node that tells the others what it believes."""
+class ReportingNode:
+    """A node that sends heartbeats built from its views."""
 
     def __init__(self, name: str) -> None:
         self.views = Views()
@@ -32,22 +32,22 @@
 
 
 class TestToldOn(unittest.TestCase):
-    """What a node was told it tells on, as if it knew it itself, to who told it too.
+    """Nodes must not forward reports of others as if they were their own observations.
 
-    Symptom: an engine counts as loading for seconds after its load, and a store as late
-    for longer than its links are.  Sequence: A tells B that something holds for 1 s more;
-    B counts that from when it hears it, and tells A, who takes the later end; each hop
-    adds the time under way.  Cause: what is told has neither a source nor the age that it
-    had, so whoever heard it last renews it for the others.
+    Failure: an engine counts as loading for seconds after its load has ended, and a store as
+    late for longer than its link is.  Node A reports that a load lasts for 1 s more; B counts
+    this from the receipt and reports it back to A, which keeps the later end; each hop adds
+    the transit time.  Reports have neither a source nor an age, so that each recipient that
+    forwards one renews it for the others.
     """
 
     def setUp(self) -> None:
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        self.nodes = [ToldNode(f"n{number}") for number in range(NODES)]
+        self.nodes = [ReportingNode(f"n{number}") for number in range(NODES)]
 
     def _run(self, seconds: float) -> None:
-        async def tell(node: ToldNode, offset: float) -> None:
+        async def report(node: ReportingNode, offset: float) -> None:
             await asyncio.sleep(offset)
             while True:
                 heartbeat = node.heartbeat()
@@ -58,7 +58,9 @@
 
         async def run() -> None:
             steps = [n * _HEARTBEAT_SECONDS / NODES for n in range(NODES)]
-            tasks = [asyncio.ensure_future(tell(*it)) for it in zip(self.nodes, steps, strict=True)]
+            tasks = [
+                asyncio.ensure_future(report(*it)) for it in zip(self.nodes, steps, strict=True)
+            ]
             await asyncio.sleep(seconds)
             for task in tasks:
                 task.cancel()
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""Requests that are late already come after those that can be in time."""
+"""Prompts that are already late come after those that can be in time."""
 
 from __future__ import annotations
 
