--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Run a serving node against stand-ins of the users' platform, in one process."""
+"""Run serving nodes against stand-ins of the platform and its targets, in one process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Answer(NamedTuple):
-    """What a caller got."""
+    """The response that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -41,7 +41,7 @@
 
 
 class Fleet(Deployment):
-    """A deployment, and nodes before it in this process."""
+    """A deployment with serving nodes in this process."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,7 +55,7 @@
         data_centre: str = "a",
         bounds: Bounds = BOUNDS,
     ) -> RunningNode:
-        """Start a node and wait until it is ready; `store` is another way to the store."""
+        """Start a node and wait until it is ready; `store` is another address of the store."""
         node = RunningNode(
             name=name, fleet=self, store=store, data_centre=data_centre, bounds=bounds
         )
@@ -113,19 +113,19 @@
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start, and wait until the node says that it is ready."""
+        """Start the node and wait until it reports that it is ready."""
         self.task = asyncio.ensure_future(self.node.run(self.stopping))
         await eventually(self.ready)
 
     async def ready(self) -> bool:
-        """Return whether the node says that it is ready."""
+        """Return whether the node reports that it is ready."""
         try:
             return (await get(self.settings.ready, "/readyz")).status == 200
         except OSError:
             return False
 
     async def stop(self) -> None:
-        """Stop, as a signal would."""
+        """Shut the node down gracefully, as a signal does."""
         self.stopping.set()
         if self.task is not None:
             await self.task
@@ -133,7 +133,7 @@
 
 
 async def eventually(check, seconds: float = WAIT_SECONDS) -> None:
-    """Wait until `check` gives True."""
+    """Wait until `check` returns a true value."""
     async with asyncio.timeout(seconds):
         while True:
             result = check()
@@ -145,7 +145,7 @@
 
 
 async def send_raw(address: str, data: bytes) -> bytes:
-    """Send bytes on a new connection, and return all that comes until it closes."""
+    """Send bytes on a new connection; return all bytes received until it is closed."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -159,7 +159,7 @@
 
 
 def parse(data: bytes) -> Answer:
-    """Return the first answer in `data`; chunks are joined."""
+    """Return the first response in `data`; chunks are joined."""
     head, _, rest = data.partition(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").split("\r\n")
     headers = {}
@@ -180,7 +180,7 @@
 
 
 async def get(address: str, path: str) -> Answer:
-    """Make a plain GET."""
+    """Send a GET request and return the response."""
     request = f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
     return parse(await send_raw(address, request.encode()))
 
@@ -195,7 +195,7 @@
     body: bytes = b"ask",
     **headers: str,
 ) -> bytes:
-    """Return a caller's request."""
+    """Return a caller's request as bytes."""
     fields = {
         "Host": "fleet.example",
         "X-Request-Id": request_id,
@@ -210,13 +210,13 @@
 
 
 def prompt(**headers: str) -> dict[str, str]:
-    """Return the headers of a prompt with two shared parts and one of its own."""
+    """Return the headers of a prompt with two shared parts and one part of its own."""
     parts = "aa:100,bb:200,cc:50"
     return {"X_Model": "m", "X_Token_Usage": "350,10", "X_Prompt_Prefix": parts, **headers}
 
 
 async def ask(node: RunningNode, path: str, **extra: object) -> Answer:
-    """Send a request to a node and return its answer."""
+    """Send a request to a node and return its response."""
     return parse(await send_raw(node.settings.entry, request(path, **extra)))  # type: ignore[arg-type]
 
 
@@ -230,10 +230,10 @@
     async def asyncTearDown(self) -> None:
         await self.fleet.end()
 
-    def bear_pauses(self, seconds: float) -> None:
-        """Let no pause of this process up to `seconds` move a request to another target."""
+    def tolerate_pauses(self, seconds: float) -> None:
+        """Raise timeouts so that a pause of this process up to `seconds` causes no retry."""
         for each in self.fleet.routes:
-            # A send is given up for silence after twice the route's aim.
+            # A send without a response times out after twice the route's latency goal.
             each["target-latency-ms"] = round(seconds * 500)
         self.fleet.configure()
         connects = mock.patch("fielddrift_node.serving.trying.CONNECT_TIMEOUT_SECONDS", seconds)
@@ -242,10 +242,10 @@
 
 
 class TwoTargets(FleetCase):
-    """Nodes before two targets of one service, of which the first one speaks of itself."""
+    """Nodes and two targets of one service; the first one, `speaker`, sends notices."""
 
     async def start(self, service: str, *, nodes: int = 1, alone: bool = False) -> None:
-        """Start the targets, the second one unless the first is `alone`, and the nodes."""
+        """Start the nodes and targets; the second target only if the first is not `alone`."""
         events = 4 if service == "engines" else 0
         self.path = "/chat/1" if events else "/safe/1"
         self.speaker = await self.fleet.worker(Worker(name="speaker", events=events), service)
@@ -256,23 +256,23 @@
         self.number = 0
 
     async def ask(self, path: str = "") -> Answer:
-        """Ask the next node in turn."""
+        """Send a request to the next node, round robin."""
         path = path or self.path
         self.number += 1
         node = self.nodes[self.number % len(self.nodes)]
         extra = prompt() if path.startswith(("/chat", "/verdict")) else {}
         return await ask(node, path, request_id=f"r{self.number}", **extra)
 
-    async def press(self, number: int, seconds: float, path: str = "") -> list[int]:
-        """Ask so often within `seconds`; return the statuses of the answers."""
+    async def send_many(self, number: int, seconds: float, path: str = "") -> list[int]:
+        """Send `number` requests within `seconds`; return the statuses of the responses."""
         asks = []
         for _ in range(number):
             asks.append(asyncio.ensure_future(self.ask(path)))
             await asyncio.sleep(seconds / number)
         return [answer.status for answer in await asyncio.gather(*asks)]
 
-    async def reach(self, path: str = "") -> None:
-        """Ask until the speaker has got a request more: the other one turns the first away."""
+    async def send_until_received(self, path: str = "") -> None:
+        """Send requests, which the other target rejects, until the speaker receives one."""
         before = len(self.speaker.arrivals)
         async with asyncio.timeout(WAIT_SECONDS):
             while len(self.speaker.arrivals) == before:
--- a/tests/test_any_break.py
+++ b/tests/test_any_break.py
@@ -1,8 +1,8 @@
-"""Whatever runs break off behind each other, a caller gets what one run makes, or a cut answer.
+"""A caller gets the events of one complete run or a cut response, however its runs fail.
 
-A walk over all the ways in which an engine's run can end, one behind another, with
-callers that leave and deadlines that pass in between, on one node whose connections
-and views outlive each request.
+A random walk over all ways in which an engine's run can end, in sequence, with callers that
+disconnect and deadlines that pass in between, on one node whose connections and views are
+shared by all requests.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .platform_fleet import BOUNDS, FleetCase, eventually, parse, prompt, request, send_raw
 
 _EVENTS = 5
-_MADE = [b"id: %d\ndata: token %d\n\n" % (n, n) for n in range(1, _EVENTS + 1)]
+_ALL_EVENTS = [b"id: %d\ndata: token %d\n\n" % (n, n) for n in range(1, _EVENTS + 1)]
 _REQUESTS = 60
 _FAULTS = (
     "cut-event", "cut-first", "silent-first", "cut-end", "lost", "error", "shed", "garbage",
@@ -29,22 +29,22 @@
 
 
 async def _repeat_and_cut(exchange: standin._Exchange) -> None:
-    """Give the run from its first event on, whatever the request names, and break off."""
+    """Send the run from its first event on, ignoring the requested event id, and cut it off."""
     worker = exchange.worker
     worker.begin(exchange.request)
     fields = Headers([*worker.head(exchange.request_id), (b"Content-Type", b"text/event-stream")])
     exchange.responder.start(200, fields, None)
-    for event in _MADE[:4]:
+    for event in _ALL_EVENTS[:4]:
         exchange.responder.write(event[:7])
         await asyncio.sleep(0.005)
         exchange.responder.write(event[7:])
-    exchange.responder.write(_MADE[4][:9])
+    exchange.responder.write(_ALL_EVENTS[4][:9])
     await asyncio.sleep(0.02)
     exchange.responder.cut()
 
 
 async def _ends_at_once(exchange: standin._Exchange) -> None:
-    """Break off behind the head, before any event."""
+    """Cut the response off after its head, before any event."""
     worker = exchange.worker
     worker.begin(exchange.request)
     fields = Headers([*worker.head(exchange.request_id), (b"Content-Type", b"text/event-stream")])
@@ -71,7 +71,7 @@
         self.node = await self.fleet.node(bounds=BOUNDS._replace(retry_slack=10_000.0))
         await eventually(lambda: len(self.node.node.views.registry) == len(self.workers))
 
-    async def _leave(self, raw: bytes, seconds: float) -> None:
+    async def _disconnect_after(self, raw: bytes, seconds: float) -> None:
         host, _, port = self.node.settings.entry.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(raw)
@@ -86,7 +86,7 @@
             faults = list(self.faults)
             raw = request("/long/x", request_id=f"r{number}", **prompt())
             if rng.random() < 0.2:
-                await self._leave(raw, rng.uniform(0.0, 0.1))
+                await self._disconnect_after(raw, rng.uniform(0.0, 0.1))
                 continue
             if rng.random() < 0.2:
                 raw = request("/long/x", request_id=f"r{number}", deadline_ms=60, **prompt())
@@ -95,7 +95,7 @@
             if answer is None or answer.status != 200:
                 continue
             events = answer.body.split(b"\n\n")[:-1]
-            self.assertEqual(answer.body, b"".join(_MADE[: len(events)]), faults)
+            self.assertEqual(answer.body, b"".join(_ALL_EVENTS[: len(events)]), faults)
             if answer.headers.get("whole"):
                 self.assertEqual(len(events), _EVENTS, faults)
                 whole += 1
--- a/tests/test_begin_watch.py
+++ b/tests/test_begin_watch.py
@@ -1,4 +1,4 @@
-"""A send that waits is called off in time, by whichever limit comes first."""
+"""A waiting send is cancelled by the timeout for outdated weights or by its own timeout."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from .virtual_time import VirtualLoop
 
-_PATIENCE = 0.2
-_NAMED_BEFORE = 0.01
+_TIMEOUT_SECONDS = 0.2
+_NAMED_BEFORE_SECONDS = 0.01
 
 
 class TestBeginWatch(unittest.TestCase):
@@ -23,24 +23,25 @@
         self.loop.set_exception_handler(lambda _, context: self.faults.append(context))
 
     def _expired(self, *, bound: float) -> bool:
-        """Return whether the weights' time ended a send that waits for ever."""
-        return self.loop.run_until_complete(self._waits(bound))
+        """Return whether the timeout for outdated weights cancelled a send without a response."""
+        return self.loop.run_until_complete(self._wait(bound))
 
-    async def _waits(self, bound: float) -> bool:
+    async def _wait(self, bound: float) -> bool:
         views = Views()
-        views.update_weights(NamedWeights("m", 2), self.loop.time() - _NAMED_BEFORE)
-        watch = StaleWeightsTimeout(views=views, model="m", weights=1, bound=bound)
+        views.update_weights(NamedWeights("m", 2), self.loop.time() - _NAMED_BEFORE_SECONDS)
+        weights_timeout = StaleWeightsTimeout(views=views, model="m", weights=1, bound=bound)
         with self.assertRaises(TimeoutError):
-            async with asyncio.timeout(_PATIENCE) as limit:
-                with watch.over(limit):
+            async with asyncio.timeout(_TIMEOUT_SECONDS) as limit:
+                with weights_timeout.over(limit):
                     await asyncio.sleep(60.0)
-        return watch.expired
+        return weights_timeout.expired
 
     def test_the_weights_time_ends_it_before_patience(self) -> None:
         self.assertTrue(self._expired(bound=0.6))
 
     def test_patience_ends_it_where_both_end_in_one_moment(self) -> None:
-        # A look in the turn in which patience expires moved an expiring limit: the loop
-        # logged `Cannot change state of expiring Timeout`, and the engine was not blamed.
-        self.assertFalse(self._expired(bound=0.5 + _PATIENCE + _NAMED_BEFORE))
+        # A check in the loop iteration in which the timeout expires rescheduled an expiring
+        # timeout: the loop logged `Cannot change state of expiring Timeout`, and the failure was
+        # not attributed to the engine.
+        self.assertFalse(self._expired(bound=0.5 + _TIMEOUT_SECONDS + _NAMED_BEFORE_SECONDS))
         self.assertEqual(self.faults, [])
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -230,7 +230,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.fleet.cold_rate = 2.0
-        self.bear_pauses(3.0)
+        self.tolerate_pauses(3.0)
         self.warm = await self.fleet.worker(Worker(name="warm", events=1), "engines")
         bounds: Bounds = BOUNDS._replace(cold_overage=1.5, cold_slack=5.0)
         self.node = await self.fleet.node(bounds=bounds)
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -100,7 +100,7 @@
         self.addCleanup(faults.stop)
         more = {"allow-resume": True, "max-attempts": 3}
         self.fleet.routes.append(route("long", "engines", "streaming", **more))
-        self.bear_pauses(2.0)
+        self.tolerate_pauses(2.0)
         self.faults: list[str] = []
         self.workers = [Worker(name=f"e{n}", events=_EVENTS) for n in range(1, 3)]
         for worker in self.workers:
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -1,4 +1,4 @@
-"""What a node knows and tells just after it starts, and while it stands by."""
+"""Entry responses shortly after a node's start, and prompts at a node on standby."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
         await self.fleet.worker(Worker(name="w1"), "plain")
         node = await self.fleet.node()
 
-        async def keep() -> float:
+        async def ttl() -> float:
             answer = await get(node.settings.directory, QUESTION)
             return json.loads(answer.body)["ttl-s"] if answer.status == 200 else 0.0
 
-        self.assertEqual(await keep(), _EARLY_ENTRY_CACHE_SECONDS)
+        self.assertEqual(await ttl(), _EARLY_ENTRY_CACHE_SECONDS)
 
-        async def kept_for_long() -> bool:
-            return await keep() == _ENTRY_CACHE_SECONDS
+        async def has_full_ttl() -> bool:
+            return await ttl() == _ENTRY_CACHE_SECONDS
 
-        await eventually(kept_for_long)
+        await eventually(has_full_ttl)
 
 
 class TestStandingBy(FleetCase):
@@ -36,12 +36,12 @@
         await self.fleet.worker(Worker(name="e1", events=2), "engines")
         nodes = [await self.fleet.node(f"node-{n}") for n in range(4)]
 
-        def follows(node: RunningNode) -> bool:
+        def follows_stores(node: RunningNode) -> bool:
             return all(view.is_known for view in node.node.views.store_index.views)
 
-        # Three are active, and know what is kept; one stands by, and does not.
-        await eventually(lambda: sum(follows(node) for node in nodes) == 3)
-        (standby,) = (node for node in nodes if not follows(node))
+        # Three nodes are active and know the stored parts; one is on standby and does not.
+        await eventually(lambda: sum(follows_stores(node) for node in nodes) == 3)
+        (standby,) = (node for node in nodes if not follows_stores(node))
         answer = await ask(standby, "/chat/x", **prompt())
         self.assertEqual(answer.status, 200)
-        await eventually(lambda: follows(standby))
+        await eventually(lambda: follows_stores(standby))
--- a/tests/test_serving_metrics.py
+++ b/tests/test_serving_metrics.py
@@ -1,4 +1,4 @@
-"""The figures and lines of a serving node, and what its start loads."""
+"""The metrics and log lines of a serving node, and the modules that it imports at its start."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from .platform_fleet import Answer, FleetCase, ask, eventually, get, prompt
 
 ROOT = Path(__file__).parent.parent
-NEEDLESS = ("prometheus_client", "ssl", "http.server")
-"""Loaded by nothing that a node needs to serve: a quarter of its start."""
+UNNEEDED_MODULES = ("prometheus_client", "ssl", "http.server")
+"""Not needed for serving; their imports took a quarter of a node's start time."""
 
 
 class MetricsTest(unittest.TestCase):
@@ -50,11 +50,11 @@
             for line in (ROOT / "docs" / "METRICS.md").read_text().splitlines()
             if line.startswith("| fielddrift_")
         ]
-        figures = {
+        metrics = {
             family.name + ("_total" if family.type == "counter" else ""): family.documentation
             for family in Metrics().collect()
         }
-        self.assertEqual(dict(rows), figures)
+        self.assertEqual(dict(rows), metrics)
 
 
 class StartTest(unittest.TestCase):
@@ -63,7 +63,7 @@
             "import sys; sys.argv = ['x', 'check', '/nowhere']\n"
             "from fielddrift_platform.__main__ import start\n"
             "try:\n    start()\nexcept SystemExit:\n    pass\n"
-            f"print([n for n in {NEEDLESS!r} if n in sys.modules])\n"
+            f"print([n for n in {UNNEEDED_MODULES!r} if n in sys.modules])\n"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
@@ -81,18 +81,18 @@
 
 
 class RunLinesTest(FleetCase):
-    """What the lines and figures tell of a run that broke off, and of the one behind it."""
+    """Log lines and metrics of a run that fails, and of the run that resumes it."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.bear_pauses(2.0)
+        self.tolerate_pauses(2.0)
         self.one = await self.fleet.worker(Worker(name="e1", events=5), "engines")
         self.two = await self.fleet.worker(Worker(name="e2", events=5), "engines")
         self.node = await self.fleet.node()
         await eventually(lambda: len(self.node.node.views.registry) == 2)
 
     async def _ask(self, fault: str, path: str = "/chat/x") -> Answer:
-        # Whichever engine is chosen first has the fault.
+        # The engine that is chosen first has the fault.
         self.one.faults = self.two.faults = [fault]
         with capture_logs() as lines:
             answer = await ask(self.node, path, **prompt())
@@ -103,51 +103,51 @@
         (line,) = [line for line in self.lines if line["event"] == event]
         return line
 
-    def _told(self, event: str, **fields: object) -> None:
+    def _assert_logged(self, event: str, **fields: object) -> None:
         line = self._line(event)
         self.assertEqual({name: line[name] for name in fields}, fields)
 
-    async def _figures(self) -> list[str]:
+    async def _metrics(self) -> list[str]:
         return (await get(self.node.settings.metrics, "/metrics")).body.decode().splitlines()
 
     async def test_a_run_that_breaks_off_and_the_one_behind_it_are_told(self) -> None:
         await self._ask("cut-event")
-        self._told(
+        self._assert_logged(
             "send failed", connection="new", answer_begun=True, events=2, last="2", runs=1,
             partial_bytes=len(b"id: 3\ndata: tok"), reason="cut",
         )  # fmt: skip
         first, second = self._line("request answered")["targets"]
         self.assertEqual(self._line("send failed")["target"], first)
-        self._told(
+        self._assert_logged(
             "run resumed", target=second, connection="new", after="2", first="3", weights=1,
             events_before=2, runs=2,
         )  # fmt: skip
-        self._told("request answered", events=5, odd=0, last="5", runs=2, partial_bytes=0)
-        self.assertIn("fielddrift_cut_events_total 1.0", await self._figures())
-        self.assertIn("fielddrift_odd_events_total 0.0", await self._figures())
+        self._assert_logged("request answered", events=5, odd=0, last="5", runs=2, partial_bytes=0)
+        self.assertIn("fielddrift_cut_events_total 1.0", await self._metrics())
+        self.assertIn("fielddrift_odd_events_total 0.0", await self._metrics())
 
     async def test_a_run_that_breaks_off_inside_its_first_event_is_told(self) -> None:
         await self._ask("cut-first")
-        self._told(
+        self._assert_logged(
             "send failed", answer_begun=False, events=0, last="", runs=0,
             partial_bytes=len(b"id: 1\ndata: tok"),
         )  # fmt: skip
-        self._told("run resumed", after="", first="1", events_before=0, runs=1)
-        self.assertIn("fielddrift_cut_events_total 1.0", await self._figures())
+        self._assert_logged("run resumed", after="", first="1", events_before=0, runs=1)
+        self.assertIn("fielddrift_cut_events_total 1.0", await self._metrics())
 
     async def test_an_event_with_two_ids_is_counted(self) -> None:
         await self._ask("two-ids")
-        self._told("request answered", events=2, odd=1, last="2", runs=1)
-        self.assertIn("fielddrift_odd_events_total 1.0", await self._figures())
+        self._assert_logged("request answered", events=2, odd=1, last="2", runs=1)
+        self.assertIn("fielddrift_odd_events_total 1.0", await self._metrics())
 
     async def test_an_answer_that_is_cut_tells_how_far_it_came(self) -> None:
         await self._ask("cut-event", "/verdict/x")
-        self._told("answer cut", events=2, last="2", runs=1, partial_bytes=15)
+        self._assert_logged("answer cut", events=2, last="2", runs=1, partial_bytes=15)
 
     async def test_a_run_that_breaks_off_between_events_is_not_counted(self) -> None:
         await self._ask("cut-end")
-        self._told("send failed", events=5, last="5", partial_bytes=0)
-        self.assertIn("fielddrift_cut_events_total 0.0", await self._figures())
+        self._assert_logged("send failed", events=5, last="5", partial_bytes=0)
+        self.assertIn("fielddrift_cut_events_total 0.0", await self._metrics())
 
     async def test_whole_answers_and_plain_ones_tell_of_no_other_run(self) -> None:
         self.one.faults = self.two.faults = []
--- a/tests/test_target_leaving.py
+++ b/tests/test_target_leaving.py
@@ -84,12 +84,12 @@
         if not hasattr(self, "speaker"):
             await self.start(service, nodes=2)
         self.speaker.leaving = True
-        await self.reach()
+        await self.send_until_received()
         await asyncio.sleep(_ON_ITS_WAY_SECONDS)
 
     async def check_left(self, path: str = "") -> None:
         before = len(self.speaker.arrivals)
-        statuses = await self.press(20, 0.4, path)
+        statuses = await self.send_many(20, 0.4, path)
         self.assertEqual(len(self.speaker.arrivals), before)
         self.assertEqual(set(statuses), {200})
 
--- a/tests/test_target_pauses.py
+++ b/tests/test_target_pauses.py
@@ -1,4 +1,4 @@
-"""A target that turns a node away and asks for a pause gets nothing from that node meanwhile."""
+"""A target that rejects a request and asks for a pause gets no requests from that node."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class TestPauses(TwoTargets):
-    """One node; the speaker turns everything away."""
+    """One node; the speaker rejects all requests."""
 
     async def paused(
         self, service: str, *, alone: bool = False, seconds: float = _PAUSE_SECONDS
     ) -> None:
-        """Let the speaker turn the node away once."""
+        """Let the speaker reject one request of the node."""
         await self.start(service, alone=alone)
         if not alone:
             self.other.work_seconds = 0.1
         self.speaker.pause = seconds
-        await self.reach()
+        await self.send_until_received()
 
-    async def press_in_pause(self) -> set[int]:
-        return set(await self.press(60, 0.75 * _PAUSE_SECONDS))
+    async def send_during_pause(self) -> set[int]:
+        return set(await self.send_many(60, 0.75 * _PAUSE_SECONDS))
 
     async def test_an_engine_gets_no_request_while_it_asked_for_none(self) -> None:
         await self.paused("engines")
-        self.assertEqual(await self.press_in_pause(), {200})
+        self.assertEqual(await self.send_during_pause(), {200})
         self.assertEqual(len(self.speaker.arrivals), 1)
 
     async def test_a_service_that_is_alone_gets_no_request_either(self) -> None:
         await self.paused("plain", alone=True)
-        self.assertEqual(await self.press_in_pause(), {503})
+        self.assertEqual(await self.send_during_pause(), {503})
         self.assertEqual(len(self.speaker.arrivals), 1)
 
     async def test_an_engine_that_is_alone_has_callers_come_back_when_it_takes_them(self) -> None:
         await self.paused("engines", alone=True)
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         answer = await self.ask()
         self.assertEqual(answer.status, 503)
-        # It surely cannot be served: it is refused at once.
-        self.assertLess(asyncio.get_running_loop().time() - began, 0.1)
+        # No target can serve it, so it is refused at once.
+        self.assertLess(asyncio.get_running_loop().time() - started_at, 0.1)
         self.assertGreater(float(answer.headers["retry-after"]), 0.5)
         self.assertEqual(len(self.speaker.arrivals), 1)
 
@@ -55,10 +55,10 @@
         self.assertEqual((await self.ask()).status, 200)
 
     async def test_what_one_engine_asks_for_keeps_no_caller_from_the_others(self) -> None:
-        """Work for one send only is refused, and its caller comes back to another engine."""
+        """A request that allows one send is refused, and a retry goes to another engine."""
         await self.start("engines")
         self.speaker.pause = _PAUSE_SECONDS
-        # The other one is taken to be full, so the first request goes to the speaker.
+        # The other engine appears to be full, so the first request goes to the speaker.
         self.nodes[0].node.views.workload.begin("other", "busy", 20_000, 30_000)
         answer = await self.ask("/verdict/1")
         self.assertEqual((answer.status, len(self.speaker.arrivals)), (503, 1))
@@ -71,7 +71,7 @@
         self.assertEqual(len(self.speaker.arrivals), 1)
 
     async def test_orders_wait_for_the_end_of_the_pause(self) -> None:
-        # Longer than the duty of giving orders takes to begin.
+        # Longer than it takes until a node has the duty to send orders.
         await self.paused("engines", seconds=_LONG_PAUSE_SECONDS)
         asked_at, _ = self.speaker.arrivals[0]
         self.fleet.store.put("op", "version/m", {"model": "m", "version": 2})
@@ -87,19 +87,19 @@
         pauses = self.nodes[0].node.views.pauses
         loop = asyncio.get_running_loop()
         await eventually(lambda: pauses.left("speaker", loop.time()) > 0)
-        await self.press_in_pause()
+        await self.send_during_pause()
         self.assertEqual(self.speaker.arrivals, [])
 
     async def test_a_store_host_gets_no_call_while_it_asked_for_none(self) -> None:
         await self.start("engines")
         kv = self.fleet.kv
-        await self.press_in_pause()
+        await self.send_during_pause()
         kv.pause = _PAUSE_SECONDS
         before = len(kv.calls)
         await eventually(lambda: len(kv.calls) > before)
-        turned_away = kv.calls[-1]
-        await self.press_in_pause()
-        during = [at for at in kv.calls if turned_away < at < turned_away + 0.9 * _PAUSE_SECONDS]
+        rejected_at = kv.calls[-1]
+        await self.send_during_pause()
+        during = [at for at in kv.calls if rejected_at < at < rejected_at + 0.9 * _PAUSE_SECONDS]
         self.assertEqual(during, [])
         kv.pause = 0.0
-        await eventually(lambda: kv.calls[-1] > turned_away + _PAUSE_SECONDS)
+        await eventually(lambda: kv.calls[-1] > rejected_at + _PAUSE_SECONDS)
