--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -103,7 +103,8 @@
     """Which stored parts a run fetches, and how many tokens it then has to prefill.
 
     `sources` has one entry per part: the store to fetch from, or None if the part is not
-    fetched.  `unread` counts the tokens to prefill, `recomputed` those of them that some
+    fetched.  A part that the engine probably still caches may have a store too, but adds
+    nothing to `fetch_seconds`.  `unread` counts the tokens to prefill, `recomputed` those of them that some
     store keeps.  `delay_seconds` is the sum of the delays that the fetches cause to other
     transfers on the same links.
     """
--- a/packages/core/src/fielddrift_core/routing.py
+++ b/packages/core/src/fielddrift_core/routing.py
@@ -41,6 +41,7 @@
 _MEMORY_HINT_TRUST = 0.9
 _REMOTE_SECONDS = 0.003
 _OVERSAMPLING = 4
+"""Targets drawn per target of the sample, since some of them may not be allowed."""
 
 
 class Source(StrEnum):
@@ -161,16 +162,16 @@
     """
     if sample is None or len(targets) <= sample:
         return [target for target in targets if allowed(target)]
-    drawn: list[Target] = []
+    sampled: list[Target] = []
     for target in rng.sample(targets, min(len(targets), _OVERSAMPLING * sample)):
-        if len(drawn) == sample:
+        if len(sampled) == sample:
             break
         if allowed(target):
-            drawn.append(target)
-    if not drawn:
+            sampled.append(target)
+    if not sampled:
         return [target for target in targets if allowed(target)]
-    known = {target.name for target in drawn}
-    return drawn + [t for t in warm if t.name not in known and allowed(t)]
+    known = {target.name for target in sampled}
+    return sampled + [t for t in warm if t.name not in known and allowed(t)]
 
 
 # --- estimates -------------------------------------------------------------
--- a/packages/core/src/fielddrift_core/store_index.py
+++ b/packages/core/src/fielddrift_core/store_index.py
@@ -88,7 +88,10 @@
         self._changes.clear()
 
     def listed(self, life: int, following: int, held: Iterable[tuple[str, str, int]]) -> None:
-        """Replace the content by a complete list of (salt, part, tokens)."""
+        """Replace the content by a complete list of (salt, part, tokens).
+
+        The list is that of the process instance `life` after its event `following`.
+        """
         self._changes.clear()
         self.life, self.following = life, following
         self._clear()
@@ -96,8 +99,9 @@
             self.add(salt, part, tokens)
 
     def is_behind(self, life: int, following: int) -> bool:
-        """Return whether this view is behind event `following` of `life`.
+        """Return whether this view is behind event `following` of the process instance `life`.
 
+        A view of another instance counts as behind.
         Nodes receive a store's events at different times.  A copy from a node that is behind
         would bring back parts that have been removed.
         """
--- a/packages/core/src/fielddrift_core/workload.py
+++ b/packages/core/src/fielddrift_core/workload.py
@@ -1,7 +1,7 @@
 """Track the work at targets: exactly for own sends, as reported for those of other nodes.
 
-A run counts its tokens to prefill until its first event, and a running request until its
-end.  Reports of other nodes expire when no new ones arrive.
+A run counts with its tokens to prefill until its first event, and as running until its end.
+Reports of other nodes expire when no new ones arrive.
 """
 
 from __future__ import annotations
