--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -104,9 +104,9 @@
 
     `sources` has one entry per part: the store to fetch from, or None if the part is not
     fetched.  A part that the engine probably still caches may have a store too, but adds
-    nothing to `fetch_seconds`.  `unread` counts the tokens to prefill, `recomputed` those of them that some
-    store keeps.  `delay_seconds` is the sum of the delays that the fetches cause to other
-    transfers on the same links.
+    nothing to `fetch_seconds`.  `unread` counts the tokens to prefill, `recomputed` those of
+    them that some store keeps.  `delay_seconds` is the sum of the delays that the fetches
+    cause to other transfers on the same links.
     """
 
     sources: tuple[StoreTraits | None, ...]
