--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -373,7 +373,7 @@
         if active is not self._active:
             self._active = active
             _log.info("active" if active else "standing by", nodes=self._views.nodes)
-            self._store_tracker.look()
+            self._store_tracker.check_now()
 
     def _update_gauges(self, now: float) -> None:
         views, metrics = self._views, self._metrics
@@ -396,7 +396,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(_FREE_INTERVAL_SECONDS)
-            self._store_tracker.note_use()
+            self._store_tracker.record_use()
             if self._leaving or not self._neighbours.is_coordinator(loop.time()):
                 continue
             try:
@@ -409,7 +409,7 @@
     def _on_operators_changed(self) -> None:
         self._update_status()
         self._named_rows.schedule_save()
-        self._store_tracker.look()
+        self._store_tracker.check_now()
         self._gossip.schedule_update(Scope.ALL)
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -1,4 +1,4 @@
-"""Follow what store hosts keep, and free what can be of no more use."""
+"""Track which parts the store hosts hold, and free parts that cannot be used any more."""
 
 from __future__ import annotations
 
@@ -21,35 +21,37 @@
 
 __all__ = ["StoreTracker"]
 
-_WAIT_SECONDS = 1.0
-_PAUSE_SECONDS = 0.25
-"""Rest between event calls, and between copies: each carries what happened meanwhile."""
-_REST_SECONDS = 0.5
-_STANDBY_PAUSE_SECONDS = 1.0
-"""Rest between copies of a node that stands by and still takes a prompt now and then."""
-_UNREACHED_SECONDS = 2.0
-"""How long a node that did not answer is not asked: its link may be full."""
-_FIRST_PATIENCE_SECONDS = 0.5
-"""How long a node without any view of a store waits for whoever should hear it: prompts
-that come meanwhile are read anew."""
-_LISTENER_KEY = "stores"
-"""What a data centre's listener is chosen for: one node hears all store hosts."""
+_POLL_WAIT_SECONDS = 1.0
+_POLL_INTERVAL_SECONDS = 0.25
+"""Interval between polls for events, and between copies; each poll returns all changes since the
+last one."""
+_RETRY_SECONDS = 0.5
+_STANDBY_INTERVAL_SECONDS = 1.0
+"""Interval between copies of a standby node that still receives a prompt now and then."""
+_UNREACHABLE_SECONDS = 2.0
+"""How long a node that did not answer is skipped, as its link may be saturated."""
+_FIRST_VIEW_TIMEOUT_SECONDS = 0.5
+"""How long a node without any view of a store waits for the follower to report one. Prompts that
+arrive in the meantime are computed without stored parts."""
+_FOLLOWER_KEY = "stores"
+"""Key by which a data centre's follower is chosen, the one node that follows all store hosts."""
 _FREE_AFTER_SECONDS = MAX_FETCH_SECONDS + 3.0
-"""Parts are freed when no engine has had their weights for so long: the last fetch of
-them is surely over then."""
-_FREED_AT_ONCE = 500
-"""Parts named in one call, some 20 KB."""
+"""Parts are freed after no engine has had their weights for this long, when their last fetch has
+certainly ended."""
+_MAX_FREED_COUNT = 500
+"""Parts per call, about 20 KB."""
 
 _log = structlog.get_logger()
 
 
-def _patience(known: bool) -> float:
-    """Return how long a store's view may come from nobody before this node listens itself."""
-    return STALE_POSITION_SECONDS if known else _FIRST_PATIENCE_SECONDS
+def _report_timeout(known: bool) -> float:
+    """Return how long no node may report a store's view before this node follows the store
+    itself."""
+    return STALE_POSITION_SECONDS if known else _FIRST_VIEW_TIMEOUT_SECONDS
 
 
 class StoreTracker:
-    """Keep the store_index true to the stores."""
+    """Keeps the store index up to date with the stores."""
 
     def __init__(
         self,
@@ -68,137 +70,143 @@
         self._peers = peers
         self._rng = rng
         self._loops: dict[str, asyncio.Task[None]] = {}
-        self._listener = ""
-        self._unreached: dict[str, float] = {}
-        """Until when a node that did not answer is not asked again."""
+        self._follower = ""
+        self._skip_until: dict[str, float] = {}
+        """When a node that did not answer may be asked again."""
         self._sources: dict[str, str] = {}
         """The node that each store's view is copied from."""
-        self._missing: dict[str, float] = {}
-        """Since when the listener has told nothing of a store."""
+        self._missing_since: dict[str, float] = {}
+        """Since when the follower has reported nothing about a store."""
         self._used_at: dict[str, float] = {}
-        """When each salt that is held could last be in use."""
+        """When each salt that stores hold parts of may last have been in use."""
         self._wake = asyncio.Event()
 
-    def look(self) -> None:
-        """Look at once which stores the catalog names, and who listens to them."""
+    def check_now(self) -> None:
+        """Check at once which stores the catalog lists and which node follows them."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Follow every store of the catalog while prompts come here, until cancelled."""
+        """Track every store of the catalog while this node receives prompts, until cancelled."""
         loop = asyncio.get_running_loop()
         try:
             while True:
                 self._wake.clear()
                 self._views.store_index.expire(loop.time())
-                if self._takes_prompts(loop.time()):
-                    self._listen(self._copied_elsewhere(loop.time()))
+                if self._receives_prompts(loop.time()):
+                    self._follow_uncopied(self._choose_sources(loop.time()))
                     await self._copy(loop.time())
                 else:
                     self._stand_by()
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(self._pause(loop.time())):
+                    async with asyncio.timeout(self._interval(loop.time())):
                         await self._wake.wait()
         finally:
-            self._listen_to({})
+            self._set_followed({})
 
-    def _pause(self, now: float) -> float:
+    def _interval(self, now: float) -> float:
         active = self._neighbours.is_active(now)
-        # A node that stands by looks often, but follows seldom.
-        following = not active and self._takes_prompts(now)
-        return _STANDBY_PAUSE_SECONDS if following else _PAUSE_SECONDS
+        # A standby node checks often but copies rarely.
+        following = not active and self._receives_prompts(now)
+        return _STANDBY_INTERVAL_SECONDS if following else _POLL_INTERVAL_SECONDS
 
-    def _takes_prompts(self, now: float) -> bool:
-        """Return whether prompts come here: because callers are sent, or still.
+    def _receives_prompts(self, now: float) -> bool:
+        """Return whether this node receives prompts, either as an active node or still.
 
-        Callers keep an answer for some seconds, and just after a start they may be
-        sent to a node that then stands by.  What it does not know, it has read anew.
+        Callers cache an entry answer for some seconds, and just after a start they may be sent to a
+        node that then becomes a standby. Parts unknown to that node are computed.
         """
         return self._neighbours.is_active(now) or self._views.prompts.value(now) > 0
 
     def _stand_by(self) -> None:
-        """Follow nothing: a node that takes no requests needs no view."""
-        self._listen_to({})
-        self._missing.clear()
+        """Follow no store: a node that receives no requests needs no views."""
+        self._set_followed({})
+        self._missing_since.clear()
         for view in self._views.store_index.views:
             view.unknown()
             view.received_at = float("-inf")
 
-    # --- who listens ------------------------------------------------------------
+    # --- choice of sources --------------------------------------------------------
 
-    def _copied_elsewhere(self, now: float) -> set[str]:
-        """Return the stores that this node need not listen to; choose whom to ask for each.
+    def _choose_sources(self, now: float) -> set[str]:
+        """Return the stores that this node need not follow, and choose a source for each.
 
-        The listener hears all stores, but one that was just chosen does not yet:
-        until then any other node that hears a store is as good.
+        The follower follows all stores, but one that was just chosen has no views yet. Until then
+        any other node that follows a store is used as the source.
         """
-        marks = self._reached(self._neighbours.kept(now), now)
+        marks = self._reachable(self._neighbours.kept(now), now)
         capacity = self._neighbours.capacity
         known = {view.traits.address: view.is_known for view in self._views.store_index.views}
         if not self._neighbours.is_active(now):
-            # Heartbeats tell a node that stands by nothing of stores: it asks an active one.
-            self._listener = reader(_LISTENER_KEY, marks, capacity=capacity)
-            self._sources = dict.fromkeys(known, self._listener)
+            # Standby nodes get no store positions in heartbeats, so they ask an active node.
+            self._follower = reader(_FOLLOWER_KEY, marks, capacity=capacity)
+            self._sources = dict.fromkeys(known, self._follower)
             return set(known)
         names = [self._neighbours.me.name, *marks]
-        self._listener = reader(_LISTENER_KEY, names, capacity=capacity)
-        self._sources = store_sources(known, marks, self._listener)
-        if self._listener == self._neighbours.me.name:
+        self._follower = reader(_FOLLOWER_KEY, names, capacity=capacity)
+        self._sources = store_sources(known, marks, self._follower)
+        if self._follower == self._neighbours.me.name:
             return set()
         for store in self._sources:
-            self._missing.pop(store, None)
-        # A listener that was just chosen needs a moment to hear a store.
+            self._missing_since.pop(store, None)
+        # A follower that was just chosen needs some time to read a store.
         return {
             store
             for store, view_known in known.items()
             if store in self._sources
-            or now - self._missing.setdefault(store, now) <= _patience(view_known)
+            or now - self._missing_since.setdefault(store, now) <= _report_timeout(view_known)
         }
 
-    def _reached(
+    def _reachable(
         self, marks: Mapping[str, Mapping[str, StorePosition]], now: float
     ) -> dict[str, Mapping[str, StorePosition]]:
-        """Leave out the nodes that did not answer lately."""
-        return {name: seen for name, seen in marks.items() if now >= self._unreached.get(name, now)}
+        """Leave out the nodes that recently did not answer."""
+        return {
+            name: positions
+            for name, positions in marks.items()
+            if now >= self._skip_until.get(name, now)
+        }
 
-    def _listen(self, copied: set[str]) -> None:
+    def _follow_uncopied(self, copied: set[str]) -> None:
         views = {view.traits.address: view for view in self._views.store_index.views}
-        self._listen_to({store: view for store, view in views.items() if store not in copied})
+        self._set_followed({store: view for store, view in views.items() if store not in copied})
 
-    def _listen_to(self, wanted: dict[str, StoreView]) -> None:
+    def _set_followed(self, wanted: dict[str, StoreView]) -> None:
         for address in [a for a in self._loops if a not in wanted]:
             self._loops.pop(address).cancel()
         for address, view in wanted.items():
             loop = self._loops.get(address)
             if loop is not None and loop.done() and not loop.cancelled():
-                # A fault of ours must not leave a store unheard for good.
+                # After a bug ends the loop, the store must still be followed, so a new loop is
+                # started.
                 _log.error("store loop failed", store=address, error=repr(loop.exception()))
             if loop is None or loop.done():
-                self._loops[address] = asyncio.ensure_future(self._follow(view))
+                self._loops[address] = asyncio.ensure_future(self._follow_store(view))
 
-    async def _follow(self, view: StoreView) -> None:
-        lost = False
+    async def _follow_store(self, view: StoreView) -> None:
+        is_lost = False
         while True:
             try:
                 if not view.is_known:
-                    await self._list(view)
-                await self._hear(view)
-                if lost:
+                    await self._read_all(view)
+                await self._poll_events(view)
+                if is_lost:
                     _log.info("dependency regained", what="store host", store=view.traits.address)
-                lost = False
-                await asyncio.sleep(_PAUSE_SECONDS)
+                is_lost = False
+                await asyncio.sleep(_POLL_INTERVAL_SECONDS)
             except RemoteCallError as error:
-                if not lost:
+                if not is_lost:
                     address = view.traits.address
                     _log.warning(
                         "dependency lost", what="store host", store=address, error=str(error)
                     )
-                lost = True
+                is_lost = True
                 view.unknown()
-                rest = self._rng.uniform(_REST_SECONDS / 2, _REST_SECONDS)
-                await asyncio.sleep(max(rest, self._paused(view, error)))
+                delay = self._rng.uniform(_RETRY_SECONDS / 2, _RETRY_SECONDS)
+                await asyncio.sleep(max(delay, self._pause_seconds(view, error)))
 
-    def _paused(self, view: StoreView, error: RemoteCallError | None = None) -> float:
-        """Return the seconds for which a store wants no call, by what `error` says too."""
+    def _pause_seconds(self, view: StoreView, error: RemoteCallError | None = None) -> float:
+        """Return the seconds for which a store wants no calls, also recording the notice in
+        `error`."""
         now = asyncio.get_running_loop().time()
         address, pauses = view.traits.address, self._views.pauses
         if error is not None and error.notice.pause > 0:
@@ -206,37 +214,37 @@
         return pauses.left(address, now)
 
     async def _copy(self, now: float) -> None:
-        """Have what changed from the nodes that hear the stores."""
+        """Copy the changes from the nodes that follow the stores."""
         marks = self._neighbours.kept(now)
-        asked: dict[str, list[StoreCopyRequest]] = {}
+        requests_by_source: dict[str, list[StoreCopyRequest]] = {}
         for view in self._views.store_index.views:
             store = view.traits.address
             source = self._sources.get(store)
             if source is None or store in self._loops:
                 continue
             view.received_at = float("-inf")
-            mark = marks.get(source, {}).get(store)
-            if mark is None or view.is_behind(mark.life, mark.following):
-                asked.setdefault(source, []).append(
+            position = marks.get(source, {}).get(store)
+            if position is None or view.is_behind(position.life, position.following):
+                requests_by_source.setdefault(source, []).append(
                     StoreCopyRequest(store, view.life, view.following)
                 )
-        for source, questions in asked.items():
-            await self._copy_from(source, questions)
+        for source, requests in requests_by_source.items():
+            await self._copy_from(source, requests)
 
-    async def _copy_from(self, source: str, questions: list[StoreCopyRequest]) -> None:
+    async def _copy_from(self, source: str, requests: list[StoreCopyRequest]) -> None:
         node = self._neighbours.node(source)
         if node is None:
             return
         try:
-            copies = await self._peers.kept(node, questions)
+            copies = await self._peers.kept(node, requests)
         except RemoteCallError as error:
             _log.info("reader not reached", reader=node.name, error=str(error))
-            self._unreached[source] = asyncio.get_running_loop().time() + _UNREACHED_SECONDS
+            self._skip_until[source] = asyncio.get_running_loop().time() + _UNREACHABLE_SECONDS
             return
         for copy in copies:
-            self._take(copy)
+            self._apply_copy(copy)
 
-    def _take(self, copy: StoreCopy) -> None:
+    def _apply_copy(self, copy: StoreCopy) -> None:
         view = self._views.store_index.view(copy.store)
         if view is None or copy.store in self._loops:
             return
@@ -250,7 +258,7 @@
 
     # --- one store --------------------------------------------------------------
 
-    async def _list(self, view: StoreView) -> None:
+    async def _read_all(self, view: StoreView) -> None:
         listed = await self._targets.store_contents(view.traits)
         now = asyncio.get_running_loop().time()
         view.listed(
@@ -268,8 +276,8 @@
             broken=len(listed.broken),
         )
 
-    async def _hear(self, view: StoreView) -> None:
-        events = await self._targets.store_changes(view.traits, view.following, _WAIT_SECONDS)
+    async def _poll_events(self, view: StoreView) -> None:
+        events = await self._targets.store_changes(view.traits, view.following, _POLL_WAIT_SECONDS)
         now = asyncio.get_running_loop().time()
         if events.life != view.life or events.gap:
             _log.info(
@@ -293,8 +301,8 @@
 
     # --- freeing --------------------------------------------------------------
 
-    def note_use(self) -> None:
-        """Note which of the salts that stores hold parts of can still be in use."""
+    def record_use(self) -> None:
+        """Record which salts that stores hold parts of may still be in use."""
         now = asyncio.get_running_loop().time()
         held = self._views.store_index.salts()
         used = self._salts_in_use()
@@ -307,17 +315,17 @@
         """Free parts of weights that no engine has had for some time."""
         views = self._views
         now = asyncio.get_running_loop().time()
-        old = {salt for salt, at in self._used_at.items() if now - at > _FREE_AFTER_SECONDS}
-        for address, keys in views.store_index.keys_under(old).items():
+        unused = {salt for salt, at in self._used_at.items() if now - at > _FREE_AFTER_SECONDS}
+        for address, keys in views.store_index.keys_under(unused).items():
             view = views.store_index.view(address)
-            if view is None or view.life is None or self._paused(view):
+            if view is None or view.life is None or self._pause_seconds(view):
                 continue
-            batch = keys[:_FREED_AT_ONCE]
+            batch = keys[:_MAX_FREED_COUNT]
             parts = [(salt, Part(part, 0)) for salt, part in batch]
             try:
                 done = await self._targets.free(view.traits, parts, view.life)
             except RemoteCallError as error:
-                self._paused(view, error)
+                self._pause_seconds(view, error)
                 raise
             self._metrics.freed.inc(len(batch) if done else 0)
             _log.info("parts freed", store=address, parts=len(batch), done=done)
@@ -326,7 +334,7 @@
                     view.drop(salt, part)
 
     def _salts_in_use(self) -> tuple[str, ...] | None:
-        """Return the beginnings of salts that engines may use; None while that is not sure."""
+        """Return the prefixes of the salts that engines may use, or None while they are unknown."""
         views = self._views
         if views.catalog is None or views.stale.is_set():
             return None
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -121,8 +121,8 @@
         unknown."""
         if self._engine_clock is None:
             return None
-        clock, recorded_at = self._engine_clock
-        return clock + int((moment - recorded_at) * 1000)
+        clock, heard = self._engine_clock
+        return clock + int((moment - heard) * 1000)
 
     @property
     def ready(self) -> bool:
--- a/tests/test_store_view_walk.py
+++ b/tests/test_store_view_walk.py
@@ -124,7 +124,7 @@
             self.check()
         if copy is not None:
             with mock.patch("asyncio.get_running_loop"):
-                copier.tracker._take(copy)
+                copier.tracker._apply_copy(copy)
 
     def check(self) -> None:
         for number, node in enumerate(self.nodes):
