--- a/packages/node/src/fielddrift_node/serving/metrics.py
+++ b/packages/node/src/fielddrift_node/serving/metrics.py
@@ -30,9 +30,9 @@
 class Counter:
     """A monotonic counter, with one sum for each value of `label` if that is set."""
 
-    def __init__(self, *, name: str, help_text: str, label: str = "") -> None:
+    def __init__(self, *, name: str, text: str, label: str = "") -> None:
         self._name = name
-        self._help_text = help_text
+        self._help_text = text
         self._label = label
         self._sums: defaultdict[str, float] = defaultdict(float)
         if not label:
@@ -56,9 +56,9 @@
 class Gauge:
     """A value that can go up and down."""
 
-    def __init__(self, *, name: str, help_text: str) -> None:
+    def __init__(self, *, name: str, text: str) -> None:
         self._name = name
-        self._help_text = help_text
+        self._help_text = text
         self._value = 0.0
 
     def set(self, value: float) -> None:
@@ -75,9 +75,9 @@
 class Histogram:
     """A histogram of durations with the buckets of `_BUCKET_BOUNDS_SECONDS`."""
 
-    def __init__(self, *, name: str, help_text: str) -> None:
+    def __init__(self, *, name: str, text: str) -> None:
         self._name = name
-        self._help_text = help_text
+        self._help_text = text
         self._counts = [0] * (len(_BUCKET_BOUNDS_SECONDS) + 1)
         self._sum = 0.0
 
@@ -177,18 +177,18 @@
         registry.register(self)
         return generate_latest(registry)
 
-    def _counter(self, name: str, help_text: str, label: str = "") -> Counter:
-        counter = Counter(name=f"fielddrift_{name}", help_text=help_text, label=label)
+    def _counter(self, name: str, text: str, label: str = "") -> Counter:
+        counter = Counter(name=f"fielddrift_{name}", text=text, label=label)
         self._metrics.append(counter)
         return counter
 
-    def _gauge(self, name: str, help_text: str) -> Gauge:
-        gauge = Gauge(name=f"fielddrift_{name}", help_text=help_text)
+    def _gauge(self, name: str, text: str) -> Gauge:
+        gauge = Gauge(name=f"fielddrift_{name}", text=text)
         self._metrics.append(gauge)
         return gauge
 
-    def _histogram(self, name: str, help_text: str) -> Histogram:
-        histogram = Histogram(name=f"fielddrift_{name}_seconds", help_text=help_text)
+    def _histogram(self, name: str, text: str) -> Histogram:
+        histogram = Histogram(name=f"fielddrift_{name}_seconds", text=text)
         self._metrics.append(histogram)
         return histogram
 
@@ -219,8 +219,8 @@
         if endpoint is None:
             responder.send(404, Headers(), b"expected /metrics, /beliefs or /lift/FINGERPRINT")
             return
-        headers, render = endpoint
-        responder.send(200, headers, render())
+        headers, text = endpoint
+        responder.send(200, headers, text())
 
     def _answer_lift(self, request: Request, fingerprint: bytes, responder: Responder) -> None:
         if request.head.method != b"POST":
