--- a/packages/node/src/fielddrift_node/serving/gateway.py
+++ b/packages/node/src/fielddrift_node/serving/gateway.py
@@ -19,7 +19,7 @@
 __all__ = ["Gateway"]
 
 _STATUS_IF_MAY_HAVE_RUN: Mapping[int, int] = {503: 502, 429: 502}
-"""Statuses for requests that may have run, in place of those which mean that it has not run."""
+"""Statuses for requests that may have run, in place of those that promise it has not run."""
 _DEFAULT_RETRY_SECONDS = 0.25
 """Default for `Retry-After`: a tenth of the shortest deadline."""
 _OTHER_NODE_RETRY_SECONDS = 0.05
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -1,4 +1,4 @@
-"""Serve prompts: choose an engine and cached parts, and relay the engine's events.
+"""Serve prompts: choose an engine and stored parts, and relay the engine's events.
 
 The response head is sent with the first event.  If a run fails, it is resumed after the last
 complete event where the route allows that; otherwise the response to the caller is cut off.
--- a/packages/node/src/fielddrift_node/serving/metrics.py
+++ b/packages/node/src/fielddrift_node/serving/metrics.py
@@ -197,7 +197,7 @@
     """Serves the metrics at `/metrics` and the node's view of the cluster at `/beliefs`.
 
     An operator releases a request that is held back with `POST /lift/FINGERPRINT`; `lift`
-    returns whether it was held back.
+    returns whether any crashes were recorded for it.
     """
 
     def __init__(
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -233,8 +233,8 @@
         early = (
             asyncio.get_running_loop().time() - self._membership.joined_at < _EARLY_PERIOD_SECONDS
         )
-        keep = _EARLY_ENTRY_CACHE_SECONDS if early else _ENTRY_CACHE_SECONDS
-        return min(keep, self._settings.bounds.entry_cache)
+        cache_seconds = _EARLY_ENTRY_CACHE_SECONDS if early else _ENTRY_CACHE_SECONDS
+        return min(cache_seconds, self._settings.bounds.entry_cache)
 
     def _beliefs(self) -> bytes:
         reader = self._targets.reader()
@@ -361,8 +361,8 @@
         if previous is None:
             return
         self._era_since = now
-        by = "platform" if self._platform.era == era else "neighbours"
-        _log.warning("store went back", era=era, before=previous, told_by=by)
+        source = "platform" if self._platform.era == era else "neighbours"
+        _log.warning("store went back", era=era, before=previous, told_by=source)
         self._metrics.store_returns.inc()
         self._membership.mark_store_restored()
         self._named_rows.mark_store_restored()
@@ -392,7 +392,7 @@
         metrics.targets_age.set(min(now - views.targets_read_at, _MAX_AGE_SECONDS))
 
     async def _free(self) -> None:
-        """Periodically free outdated cached parts; only the coordinator node does so."""
+        """Periodically free outdated stored parts; only the coordinator node does so."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(_FREE_INTERVAL_SECONDS)
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/placing.py
@@ -279,7 +279,7 @@
         call: Call,
         candidate: _Candidate,
         lookup: StoredPartLookup,
-        soon: frozenset[str],
+        loading_next: frozenset[str],
         now: float,
     ) -> EngineState:
         views = self._context.views
@@ -296,7 +296,7 @@
             is_outdated=engine.weights < views.named.get(prompt.model, 0),
             loading=engine.loading,
             memory=views.memory.parts(instance.name, lookup.salt(engine.weights)),
-            loads_next=instance.name in soon,
+            loads_next=instance.name in loading_next,
             left=left / margin,
             weights=engine.weights,
             slowdown=views.pace.factor(call.service.name, instance.name),
