--- a/bench/cold.py
+++ b/bench/cold.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from fielddrift_core.cold_targets import ColdSends, OwnShare, share_of
+from fielddrift_core.cold_targets import ColdShare, ColdTargets, share_of
 from fielddrift_core.names import rank
 from tabulate import tabulate
 
@@ -64,13 +64,13 @@
 
 @_way("few owners")
 def _few() -> _Way:
-    shares: dict[str, OwnShare] = {}
+    shares: dict[str, ColdShare] = {}
 
     def sends(
         node: str, target: str, hears: frozenset[str], late: frozenset[str], now: float
     ) -> int:
-        share = shares.setdefault(node, OwnShare(node=node))
-        return share.sends(target, late, _BOUND, now)
+        share = shares.setdefault(node, ColdShare(node=node))
+        return share.max_sends(target, late, _BOUND, now)
 
     return sends
 
@@ -89,7 +89,7 @@
     active = max(3, nodes // _DATA_CENTRES[nodes] // _ACTIVE_PART)
     names = frozenset(f"n{number}" for number in range(active))
     cut = frozenset(sorted(names)[: max(1, active // _CUT_PART)])
-    decide, sent = WAYS[way](), {name: ColdSends() for name in names}
+    decide, sent = WAYS[way](), {name: ColdTargets() for name in names}
     arrivals: dict[str, list[float]] = {f"t{number}": [] for number in range(targets)}
     decisions, spent, now = 0, 0.0, 0.0
     while now < _END:
@@ -101,13 +101,13 @@
             )
             began = time.perf_counter()
             most = decide(node, target, hears, names, now)
-            allowed = sent[node].has_room(target, most, now)
+            allowed = sent[node].may_send(target, most, now)
             spent += time.perf_counter() - began
             decisions += 1
             while allowed:
                 sent[node].sent(target, now)
                 arrivals[target].append(now)
-                allowed = sent[node].has_room(target, most, now)
+                allowed = sent[node].may_send(target, most, now)
     worst = max(_worst(times) for times in arrivals.values())
     calm = [at for times in arrivals.values() for at in times if 2.0 <= at < _CUT_FROM]
     used = len(calm) / (_CUT_FROM - 2.0) / _BOUND / targets
--- a/bench/lab/laboratory.py
+++ b/bench/lab/laboratory.py
@@ -237,7 +237,7 @@
         now = asyncio.get_running_loop().time()
         for node in self._nodes.values():
             for instance in gone:
-                node.views.registry.gone(instance.name, now)
+                node.views.registry.entry_ended(instance.name, now)
 
     def _return(self, gone: list[Instance]) -> None:
         now = asyncio.get_running_loop().time()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -296,7 +296,7 @@
         ]
         tracemalloc.start()
         view = Membership(me=all_members[0], rng=random.Random(1))
-        view.hear(all_members, (), 0.0)
+        view.merge(all_members, (), 0.0)
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         ranked = _best(partial(rank, "model", [(x.name, 1.0) for x in all_members]))
@@ -304,7 +304,7 @@
             {
                 "members": count,
                 "memory_mb": memory / 1e6,
-                "message_us": 1e6 * _best(view.outgoing),
+                "message_us": 1e6 * _best(view.next_updates),
                 "entry_us": 1e6 * ranked,
             }
         )
--- a/packages/core/src/fielddrift_core/cold_targets.py
+++ b/packages/core/src/fielddrift_core/cold_targets.py
@@ -1,14 +1,14 @@
-"""Share out what a cold target may be sent among the nodes that send, without asking them.
+"""Divide the sends that a cold target can bear among the nodes, without coordination.
 
-Load pattern: targets come back empty and slow while callers are many, and every node finds
-them idle at the same moment.  A cold target bears a bounded number of requests a second,
-from all nodes together, and falls over far above it.
+Load pattern: targets restart with empty caches, and so slowly, while callers are many, and
+every node finds them idle at the same moment.  A cold target can bear a limited number of
+requests per second from all nodes together, and fails far above it.
 
-A few nodes of its data centre own a target while it is cold, chosen by rendezvous among
-those that were active of late, heard or not: so nodes that cannot hear each other choose
-the same owners, and one that hears nobody takes no more than its part.  Each owner counts
-its own sends within any second.  The parts leave room for one owner more, whom the others
-do not know of yet.
+A few nodes of the target's data centre own it while it is cold, chosen by rendezvous hashing
+among the recently active nodes, alive or not.  So nodes on two sides of a partition choose the
+same owners, and a node that is isolated uses no more than its share.  Each owner counts its
+own sends within any second.  The shares leave room for one additional owner that the others do
+not know yet.
 """
 
 from __future__ import annotations
@@ -21,33 +21,33 @@
 from .names import rank
 from .recent_nodes import RecentNodes
 
-__all__ = ["ColdSends", "OwnShare", "Share", "share_of"]
+__all__ = ["ColdShare", "ColdTargets", "Share", "share_of"]
 
 _WINDOW_SECONDS = 1.05
-"""A second, and by how much less two sends may be apart on their way than here."""
-_MOST_OWNERS = 9
-"""Owners of a target at most: each needs work of its own to use its part."""
+"""One second, and a margin: two sends may arrive closer together than they were sent."""
+_MAX_OWNERS = 9
+"""Maximum owners of a target: each needs requests of its own to use its share."""
 _HANDOVER_SECONDS = 1.5
-"""How long a former list of nodes still binds: some still send by it until they have heard
-what changed, and what they sent counts for a second more."""
-_REMEMBERED_SHARES = 512
-"""Shares that are remembered: some targets' that are cold at once, by sets of nodes."""
+"""How long a former list of nodes stays valid: some nodes still use it until they have received
+the change, and their sends count for one more second."""
+_SHARE_CACHE_SIZE = 512
+"""Cached shares: those of some targets that are cold at the same time, by set of nodes."""
 
 
 class Share(NamedTuple):
-    """Who may send to a cold target, and how often each within any second."""
+    """The nodes that may send to a cold target, and how often each of them within any second."""
 
     owners: frozenset[str]
     sends: int
 
 
-@lru_cache(maxsize=_REMEMBERED_SHARES)
+@lru_cache(maxsize=_SHARE_CACHE_SIZE)
 def share_of(target: str, nodes: frozenset[str], bound: float) -> Share:
-    """Return who of `nodes` may send to `target`, of which at most `bound` sends a second.
+    """Return the share of each owner of `target`, which bears `bound` sends per second.
 
-    As many owners as make the most use of it, with room left for one owner more.
+    The number of owners is the one that uses most of the bound, with room for one more owner.
     """
-    most = min(len(nodes), _MOST_OWNERS)
+    most = min(len(nodes), _MAX_OWNERS)
     parts = [(count * int(bound / (count + 1)), count) for count in range(1, most + 1)]
     total, count = max(parts, default=(0, 0))
     if not total:
@@ -56,21 +56,21 @@
     return Share(frozenset(ranked[:count]), total // count)
 
 
-class OwnShare:
-    """How much of what a cold target bears this node may send, while the list of nodes changes.
+class ColdShare:
+    """This node's share of the sends to a cold target, while nodes join and leave.
 
-    A list binds for some time after the next one: a part that grew at once would add to what
-    former owners still send.
+    A list of nodes stays valid for some time after its replacement: a share that grew at once
+    would add to the sends of former owners.
     """
 
     def __init__(self, *, node: str) -> None:
         self._node = node
         self._recent = RecentNodes(hold=_HANDOVER_SECONDS)
 
-    def sends(self, target: str, nodes: frozenset[str], bound: float, now: float) -> int:
+    def max_sends(self, target: str, nodes: frozenset[str], bound: float, now: float) -> int:
         """Return how often the node may send to `target` within any second.
 
-        `nodes` are those that were active of late.
+        `nodes` are the recently active ones.
         """
         lists = self._recent.valid_lists(nodes, now)
         return min(self._share(target, each, bound) for each in lists)
@@ -80,51 +80,51 @@
         return share.sends if self._node in share.owners else 0
 
 
-class ColdSends:
-    """Which targets are cold, and this node's own sends to them.  Not safe for threads."""
+class ColdTargets:
+    """The cold targets, and this node's own recent sends to them.  Not thread-safe."""
 
     def __init__(self) -> None:
-        self._told: dict[str, float] = {}
-        """Until when targets are cold by what they wrote themselves."""
-        self._presumed: dict[str, float] = {}
-        """Until when targets are taken for cold whatever they wrote before."""
+        self._reported: dict[str, float] = {}
+        """Until when targets are cold by their own entries."""
+        self._assumed: dict[str, float] = {}
+        """Until when targets are assumed to be cold, whatever their entries say."""
         self._sends: dict[str, deque[float]] = {}
 
-    def told(self, target: str, seconds: float, now: float) -> None:
-        """Take that `target` says to stay cold for `seconds` more; 0 for one that is not."""
+    def report(self, target: str, seconds: float, now: float) -> None:
+        """Record that `target` states to be cold for `seconds` more; 0 for one that is not."""
         if seconds > 0:
-            self._told[target] = now + seconds
+            self._reported[target] = now + seconds
         else:
-            self._told.pop(target, None)
+            self._reported.pop(target, None)
 
-    def presume(self, target: str, seconds: float, now: float) -> None:
-        """Take a target for cold for `seconds`: it may be, before it has told."""
-        self._presumed[target] = now + seconds
+    def assume(self, target: str, seconds: float, now: float) -> None:
+        """Assume for `seconds` that a target is cold, before its entry can say so."""
+        self._assumed[target] = now + seconds
 
     def is_cold(self, target: str, now: float) -> bool:
-        """Return whether a target is cold, as far as is known."""
-        if not self._told and not self._presumed:
+        """Return whether a target is reported or assumed to be cold."""
+        if not self._reported and not self._assumed:
             return False
-        return now < max(self._told.get(target, now), self._presumed.get(target, now))
+        return now < max(self._reported.get(target, now), self._assumed.get(target, now))
 
-    def has_room(self, target: str, sends: int, now: float) -> bool:
-        """Return whether this node may send now, with `sends` within any second."""
+    def may_send(self, target: str, max_sends: int, now: float) -> bool:
+        """Return whether this node may send now, with at most `max_sends` within any second."""
         recent = self._recent(target, now)
-        return len(recent) < sends
+        return len(recent) < max_sends
 
     def sent(self, target: str, now: float) -> None:
-        """Count a send to a target."""
+        """Record a send to a target."""
         self._recent(target, now).append(now)
 
-    def settle(self, listed: Collection[str], now: float) -> int:
-        """Forget targets that are not `listed` or not cold any more; return how many are cold."""
-        for known in (self._told, self._presumed):
+    def expire(self, listed: Collection[str], now: float) -> int:
+        """Remove targets that are not `listed` or no longer cold; return how many are cold."""
+        for known in (self._reported, self._assumed):
             for name in [n for n, until in known.items() if n not in listed or until <= now]:
                 del known[name]
-        for name in [n for n in self._sends if n not in self._told and n not in self._presumed]:
+        for name in [n for n in self._sends if n not in self._reported and n not in self._assumed]:
             if not self._recent(name, now):
                 del self._sends[name]
-        return len(self._told.keys() | self._presumed.keys())
+        return len(self._reported.keys() | self._assumed.keys())
 
     def _recent(self, target: str, now: float) -> deque[float]:
         recent = self._sends.setdefault(target, deque())
--- a/packages/core/src/fielddrift_core/limit_share.py
+++ b/packages/core/src/fielddrift_core/limit_share.py
@@ -1,13 +1,13 @@
-"""Share a target's limit out among the nodes that may send to it, without asking them.
+"""Divide a target's rate limit among the nodes that may send to it, without coordination.
 
-Load pattern: a target in need names the few requests a second that it takes from all nodes
-together.  Were each node to keep the limit by itself, the target would get it as many times
-as there are nodes.
+Load pattern: an overloaded target states the few requests per second that it accepts from all
+nodes together.  If each node applied the whole limit, the target would receive it once per
+node.
 
-A few nodes of its data centre own the target, chosen by rendezvous among those that were
-active of late, as cold targets are.  Each spaces its sends evenly, so that a target in need
-gets no bursts.  Of two lists of nodes that differ by one node, the owners differ by one:
-what both send together is less than half as much again.
+A few nodes of the target's data centre own it, chosen by rendezvous hashing among the recently
+active ones, as for cold targets.  Each owner spaces its sends evenly, so that the overloaded
+target receives no bursts.  If two lists of nodes differ by one node, their owners differ by at
+most one, so both sets of owners together send less than one and a half times the limit.
 """
 
 from __future__ import annotations
@@ -20,46 +20,46 @@
 
 __all__ = ["LimitShare", "owners_of"]
 
-_LEAST_OWNERS = 3
-"""With three, one owner more sends a third as much again."""
-_LEAST_RATE = 0.2
-"""Requests a second that go to a target whatever limit it names: without any answer, nobody
-would learn that it names none any more."""
+_MIN_OWNERS = 3
+"""With three owners, one additional owner sends a third of the limit more."""
+_MIN_RATE = 0.2
+"""Requests per second that a target is sent whatever limit it states: without responses the
+nodes would not notice that it states no limit any more."""
 _HANDOVER_SECONDS = 4.5
-"""How long a former list binds: what former owners have sent counts against the limit."""
-_REMEMBERED_RANKS = 512
-"""Orders of nodes that are remembered: some targets' that are limited at once, by sets of nodes."""
+"""How long a former list stays valid: the sends of former owners count against the limit."""
+_RANK_CACHE_SIZE = 512
+"""Cached rankings of nodes: those of some targets limited at the same time, by set of nodes."""
 
 
 def owners_of(target: str, rate: float, nodes: frozenset[str]) -> frozenset[str]:
-    """Return who of `nodes` may send to `target`, which takes `rate` requests a second.
+    """Return which of `nodes` may send to `target`, which accepts `rate` requests per second.
 
-    More owners where the rate is higher: each has only so many requests to send.
+    A higher rate has more owners, because each node has only so many requests to send.
     """
-    count = max(_LEAST_OWNERS, math.ceil(rate))
+    count = max(_MIN_OWNERS, math.ceil(rate))
     return frozenset(_ranked(target, nodes)[:count])
 
 
-@lru_cache(maxsize=_REMEMBERED_RANKS)
+@lru_cache(maxsize=_RANK_CACHE_SIZE)
 def _ranked(target: str, nodes: frozenset[str]) -> tuple[str, ...]:
     return tuple(rank(target, [(name, 1.0) for name in sorted(nodes)]))
 
 
 class LimitShare:
-    """How far apart this node's sends to a limited target are, while the list of nodes changes."""
+    """The interval between this node's sends to a limited target, while nodes join and leave."""
 
     def __init__(self, *, node: str) -> None:
         self._node = node
         self._recent = RecentNodes(hold=_HANDOVER_SECONDS)
 
-    def spacing(self, target: str, rate: float, nodes: frozenset[str], now: float) -> float:
-        """Return the seconds between the node's sends to `target`, without end for no owner.
+    def send_interval(self, target: str, rate: float, nodes: frozenset[str], now: float) -> float:
+        """Return the seconds between the node's sends to `target`, infinite if not an owner.
 
-        `nodes` are those that were active of late, `rate` the limit for all nodes together.
+        `nodes` are the recently active ones, `rate` is the limit for all nodes together.
         """
         lists = self._recent.valid_lists(nodes, now)
-        return max(self._spacing(target, max(rate, _LEAST_RATE), each) for each in lists)
+        return max(self._interval(target, max(rate, _MIN_RATE), each) for each in lists)
 
-    def _spacing(self, target: str, rate: float, nodes: frozenset[str]) -> float:
+    def _interval(self, target: str, rate: float, nodes: frozenset[str]) -> float:
         owners = owners_of(target, rate, nodes)
         return len(owners) / rate if self._node in owners else math.inf
--- a/packages/core/src/fielddrift_core/membership.py
+++ b/packages/core/src/fielddrift_core/membership.py
@@ -1,12 +1,12 @@
-"""Follow which nodes live, by probing a few and passing words on.
+"""Track the live nodes by gossip: probe a few peers, and piggyback state updates.
 
-Each node probes one random peer a period and piggybacks what it has learned;
-a peer that fails its probe, and the probes of two helpers, is suspected, and
-declared dead unless it denies it in time (after the SWIM protocol of Das,
-Gupta and Motivala, 2002).  The cost a node does not grow with their number.
-The view only steers work: nothing safe rests on it.
+Each node probes one random peer per period and adds the updates it has received recently.  A
+peer that fails its probe, and the indirect probes by two helpers, becomes suspected, and is
+declared dead unless it refutes the suspicion in time (after the SWIM protocol of Das, Gupta
+and Motivala, 2002).  The cost per node does not grow with the number of nodes.  The view only
+directs work: correctness must not depend on it.
 
-The same messages carry words about targets that leave and the head of the
+The same messages carry updates about targets that are leaving, and the head of the
 configuration log.
 """
 
@@ -18,16 +18,17 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-__all__ = ["Member", "Membership", "Status", "TargetWord", "UPDATES_A_MESSAGE"]
+__all__ = ["MAX_UPDATES_PER_MESSAGE", "Member", "Membership", "Status", "TargetWord"]
 
-UPDATES_A_MESSAGE = 8
-SUSPECT_SECONDS = 4.0
-_SPREAD_FACTOR = 3
-_FORGET_SECONDS = 600.0
+MAX_UPDATES_PER_MESSAGE = 8
+SUSPICION_TIMEOUT_SECONDS = 4.0
+_TRANSMIT_FACTOR = 3
+"""Transmissions of an update, as a multiple of the binary logarithm of the number of members."""
+_DEAD_RETENTION_SECONDS = 600.0
 
 
 class Status(IntEnum):
-    """A member's state; of two words on one incarnation the higher wins."""
+    """The status of a member; of two updates with the same incarnation the higher one applies."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -36,7 +37,7 @@
 
 
 class Member(NamedTuple):
-    """What is known of one node.  `name` is its address for peers."""
+    """The state of one node.  `name` is its address for peers."""
 
     name: str
     http: str
@@ -45,13 +46,13 @@
     status: Status = Status.ALIVE
 
     @property
-    def rank(self) -> tuple[int, int]:
-        """Return the order in which words on one member beat each other."""
+    def precedence(self) -> tuple[int, int]:
+        """Return the sort key by which the higher of two updates about a member applies."""
         return (self.incarnation, self.status)
 
 
 class TargetWord(NamedTuple):
-    """A word that a target is leaving, in the life that `epoch` numbers."""
+    """An update on whether a target is leaving; `epoch` numbers its process instance."""
 
     target: str
     epoch: int
@@ -59,15 +60,16 @@
 
 
 class Membership:
-    """Decide whom to probe and what to pass on.  Not safe for threads."""
+    """The view of the members; selects whom to probe and what to send.  Not thread-safe."""
 
     def __init__(self, *, me: Member, rng: random.Random) -> None:
         self._me = me
         self._rng = rng
         self._members: dict[str, Member] = {me.name: me}
-        self._words: dict[str, TargetWord] = {}
+        self._target_words: dict[str, TargetWord] = {}
         self._changed_at: dict[str, float] = {}
-        self._spread: dict[str, int] = {me.name: 0}
+        self._transmissions: dict[str, int] = {me.name: 0}
+        """How often each pending update was sent, by name of its member or target."""
         self._round: list[str] = []
         self._generation = 0
 
@@ -83,25 +85,25 @@
 
     @property
     def members(self) -> list[Member]:
-        """Return all entries, the dead ones too."""
+        """Return all entries, including dead members."""
         return list(self._members.values())
 
     def usable(self) -> list[Member]:
-        """Return the members that callers may be sent to."""
+        """Return the members to which callers may be sent."""
         return [m for m in self._members.values() if m.status is Status.ALIVE]
 
     def present(self) -> list[Member]:
-        """Return the members that may still answer a peer."""
+        """Return the members that are not dead, and so may still answer a peer."""
         return [m for m in self._members.values() if m.status is not Status.DEAD]
 
     def target_word(self, target: str) -> TargetWord | None:
-        """Return the last word on `target`, or None."""
-        return self._words.get(target)
+        """Return the latest update about `target`, or None."""
+        return self._target_words.get(target)
 
-    # --- what to send ------------------------------------------------------
+    # --- Probes and outgoing updates ----------------------------------------
 
     def next_probe(self) -> Member | None:
-        """Return the next peer to probe, in a shuffled round; None when alone."""
+        """Return the next peer to probe, in a shuffled round; None without any peer."""
         while True:
             if not self._round:
                 self._round = [m.name for m in self.present() if m.name != self._me.name]
@@ -113,84 +115,93 @@
                 return member
 
     def helpers(self, suspect: str, count: int = 2) -> list[Member]:
-        """Return peers that may probe `suspect` in our place."""
+        """Return up to `count` random peers for an indirect probe of `suspect`."""
         skip = {suspect, self._me.name}
         able = [m for m in self.usable() if m.name not in skip]
         return self._rng.sample(able, min(count, len(able)))
 
-    def outgoing(self) -> tuple[list[Member], list[TargetWord]]:
-        """Return the least spread words, as many as a message holds."""
-        limit = _SPREAD_FACTOR * math.ceil(math.log2(len(self._members) + 2))
-        chosen = sorted(self._spread, key=self._spread_order)[:UPDATES_A_MESSAGE]
+    def next_updates(self) -> tuple[list[Member], list[TargetWord]]:
+        """Return the updates for one message, the least transmitted first, and count them."""
+        limit = _TRANSMIT_FACTOR * math.ceil(math.log2(len(self._members) + 2))
+        chosen = sorted(self._transmissions, key=self._transmit_key)[:MAX_UPDATES_PER_MESSAGE]
         for key in chosen:
-            self._spread[key] += 1
-            if self._spread[key] >= limit:
-                del self._spread[key]
+            self._transmissions[key] += 1
+            if self._transmissions[key] >= limit:
+                del self._transmissions[key]
         members = [self._members[key] for key in chosen if key in self._members]
-        words = [self._words[key] for key in chosen if key in self._words]
+        words = [self._target_words[key] for key in chosen if key in self._target_words]
         return members, words
 
-    def _spread_order(self, key: str) -> tuple[bool, int]:
-        # Words on leaving and failing go before the many on those who are well.
+    def _transmit_key(self, key: str) -> tuple[bool, int]:
+        # Updates about leaving and failures precede the many about healthy members.
         member = self._members.get(key)
-        well = member is not None and member.status is Status.ALIVE
-        return (well, self._spread[key])
+        healthy = member is not None and member.status is Status.ALIVE
+        return (healthy, self._transmissions[key])
 
-    # --- what was heard ----------------------------------------------------
+    # --- Received updates ---------------------------------------------------
 
-    def hear(self, members: Iterable[Member], words: Iterable[TargetWord], now: float) -> bool:
-        """Take a peer's words in; late and repeated ones change nothing.
+    def merge(self, members: Iterable[Member], words: Iterable[TargetWord], now: float) -> bool:
+        """Merge a peer's updates; outdated and repeated ones have no effect.
 
-        Return whether a target's leaving was news, which is worth passing on
-        at once.
+        Return whether a target is newly known to be leaving, which should be sent on at once.
         """
         for member in members:
-            self._hear_member(member, now)
-        news = [word for word in words if self.hear_target(word)]
-        return any(word.leaving for word in news)
+            self._merge_member(member, now)
+        changes = [word for word in words if self.merge_target(word)]
+        return any(word.leaving for word in changes)
 
-    def hear_target(self, word: TargetWord) -> bool:
-        """Take a word on a target in; leaving holds for the rest of its epoch."""
-        known = self._words.get(word.target)
+    def merge_target(self, word: TargetWord) -> bool:
+        """Merge an update about a target; return whether it is new.
+
+        A target that is leaving cannot return in the same epoch.
+        """
+        known = self._target_words.get(word.target)
         if known and (word.epoch, word.leaving) <= (known.epoch, known.leaving):
             return False
-        self._words[word.target] = word
-        self._spread[word.target] = 0
+        self._target_words[word.target] = word
+        self._transmissions[word.target] = 0
         return True
 
-    def probe_failed(self, name: str, now: float) -> None:
-        """Suspect `name` after it and its helpers failed to answer."""
+    def record_probe_failure(self, name: str, now: float) -> None:
+        """Suspect `name`, after the direct and the indirect probes have failed."""
         member = self._members.get(name)
         if member is not None and member.status is Status.ALIVE:
             self._set(member._replace(status=Status.SUSPECT), now)
 
     def expire(self, now: float) -> list[Member]:
-        """Declare long suspected members dead, drop long dead ones; return the newly dead."""
+        """Declare members dead after the suspicion timeout, and remove old dead members.
+
+        Return the members that were declared dead.
+        """
         dead = []
         for member in self.members:
             age = now - self._changed_at.get(member.name, now)
-            if member.status is Status.SUSPECT and age >= SUSPECT_SECONDS:
+            if member.status is Status.SUSPECT and age >= SUSPICION_TIMEOUT_SECONDS:
                 dead.append(member._replace(status=Status.DEAD))
                 self._set(dead[-1], now)
-            elif member.status is Status.DEAD and age >= _FORGET_SECONDS:
-                self._forget(member.name)
+            elif member.status is Status.DEAD and age >= _DEAD_RETENTION_SECONDS:
+                self._remove(member.name)
         return dead
 
     def leave(self, now: float) -> None:
-        """Say that this node is leaving; final for this process."""
+        """Announce that this node is leaving; it cannot be undone in this process."""
         self._me = self._me._replace(status=Status.LEAVING)
         self._set(self._me, now)
 
-    def _hear_member(self, member: Member, now: float) -> None:
+    def _merge_member(self, member: Member, now: float) -> None:
         if member.name == self._me.name:
-            self._deny(member, now)
+            self._refute(member, now)
             return
         known = self._members.get(member.name)
-        if known is None or member.rank > known.rank:
+        if known is None or member.precedence > known.precedence:
             self._set(member, now)
 
-    def _deny(self, word: Member, now: float) -> None:
-        if word.rank <= self._me.rank:
+    def _refute(self, word: Member, now: float) -> None:
+        """Answer an update about this node that supersedes its own entry.
+
+        Leaving is accepted; suspicion and death are refuted with a higher incarnation.
+        """
+        if word.precedence <= self._me.precedence:
             return
         if word.status is Status.LEAVING:
             self._me = self._me._replace(incarnation=word.incarnation, status=Status.LEAVING)
@@ -202,10 +213,10 @@
         self._generation += 1
         self._members[member.name] = member
         self._changed_at[member.name] = now
-        self._spread[member.name] = 0
+        self._transmissions[member.name] = 0
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self._generation += 1
         del self._members[name]
-        self._spread.pop(name, None)
+        self._transmissions.pop(name, None)
         self._changed_at.pop(name, None)
--- a/packages/core/src/fielddrift_core/silent_rows.py
+++ b/packages/core/src/fielddrift_core/silent_rows.py
@@ -1,4 +1,4 @@
-"""Tell which rows of a list of nodes stand for nodes that are gone."""
+"""Detect rows in the list of nodes whose nodes no longer exist."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 
 __all__ = ["SilentRows"]
 
-_SILENT_LOOKS = 5
-"""Looks in a row at which a node was not heard before its row counts as left behind:
-some ten minutes for the node that looks most often, longer than any restart takes."""
+_MIN_SILENT_CHECKS = 5
+"""Consecutive checks without a heartbeat from a node before its row counts as abandoned: about
+ten minutes for the node that checks most often, which is longer than any restart."""
 
 
 class _Silent(NamedTuple):
     version: int
-    looks: int
+    checks: int
 
 
 class SilentRows:
-    """Rows whose nodes were not heard, look after look.  Not safe for threads.
+    """Rows whose nodes were silent, with the number of consecutive checks.  Not thread-safe.
 
-    Looks are counted, not seconds: a process that was paused heard nobody meanwhile.
+    Checks are counted instead of seconds, because a process that was paused has received no
+    heartbeats in the meantime.
     """
 
     def __init__(self) -> None:
         self._silent: dict[str, _Silent] = {}
 
-    def look(self, versions: Mapping[str, int], heard: Collection[str]) -> None:
-        """Take the listed rows' versions by node, and the names of those that are heard.
+    def check(self, versions: Mapping[str, int], heard: Collection[str]) -> None:
+        """Record a check of the rows, given their versions by node and the live nodes.
 
-        A node that hears nobody may itself be the one that is cut off: it counts nothing.
+        Without any live node this one may itself be partitioned: all counts are reset.
         """
         if not heard:
             self._silent.clear()
@@ -39,14 +40,14 @@
             if name in heard:
                 continue
             known = before.get(name, _Silent(version, 0))
-            # A new version is a start: the node may not have been heard yet.
-            looks = known.looks + 1 if known.version == version else 1
-            self._silent[name] = _Silent(version, looks)
+            # A new version means a restart: the node may not have sent a heartbeat yet.
+            checks = known.checks + 1 if known.version == version else 1
+            self._silent[name] = _Silent(version, checks)
 
-    def left_behind(self) -> dict[str, int]:
-        """Return the versions of the rows whose nodes were silent at many looks, by node."""
+    def abandoned(self) -> dict[str, int]:
+        """Return the versions of the rows whose nodes were silent at many checks, by node."""
         return {
             name: silent.version
             for name, silent in self._silent.items()
-            if silent.looks >= _SILENT_LOOKS
+            if silent.checks >= _MIN_SILENT_CHECKS
         }
--- a/packages/node/src/fielddrift_node/board.py
+++ b/packages/node/src/fielddrift_node/board.py
@@ -175,13 +175,13 @@
             return
         now = self._clock()
         with self._lock:
-            self._pauses.settle(now)
-            self._pauses.asked(name, seconds, now)
+            self._pauses.expire(now)
+            self._pauses.record(name, seconds, now)
 
     def soonest(self, targets: Iterable[Target]) -> float:
         """Return the seconds until the first of `targets` is over its pause."""
         with self._lock:
-            return self._pauses.soonest([target.name for target in targets], self._clock())
+            return self._pauses.min_left([target.name for target in targets], self._clock())
 
     def may_retry(self, name: str) -> bool:
         """Spend a retry on account of target `name`'s failure."""
--- a/packages/node/src/fielddrift_node/cluster.py
+++ b/packages/node/src/fielddrift_node/cluster.py
@@ -134,7 +134,7 @@
     def hear_target(self, word: TargetWord) -> None:
         """Take a word on a target in, and spread it at once if it is news."""
         with self._lock:
-            news = self._membership.hear_target(word)
+            news = self._membership.merge_target(word)
         if news and word.leaving:
             self.spread()
 
@@ -186,7 +186,7 @@
             helpers = self._membership.helpers(member.name)
         if not any(self._helped(helper, member) for helper in helpers):
             with self._lock:
-                self._membership.probe_failed(member.name, clock.now())
+                self._membership.record_probe_failure(member.name, clock.now())
 
     def spread(self) -> None:
         """Tell a few random peers at once, in the background."""
@@ -224,7 +224,7 @@
             for host in entries:
                 member = known.get(host.labels["peer"])
                 if host.leaving and member is not None and member.status is Status.ALIVE:
-                    self._membership.hear([member._replace(status=Status.LEAVING)], (), now)
+                    self._membership.merge([member._replace(status=Status.LEAVING)], (), now)
         absent = [h.labels["peer"] for h in entries if h.labels["peer"] not in known]
         if absent:
             self._pool.submit(self._ping, self._rng.choice(absent))
@@ -274,7 +274,7 @@
 
     def _gossip(self) -> pb.Gossip:
         with self._lock:
-            members, words = self._membership.outgoing()
+            members, words = self._membership.next_updates()
             me = self._membership.me
         return pb.Gossip(
             sender=me.name,
@@ -289,7 +289,7 @@
         words = [word_from(w) for w in message.words]
         self._take_members(message.members)
         with self._lock:
-            news = self._membership.hear((), words, clock.now())
+            news = self._membership.merge((), words, clock.now())
         news |= self._crashes.take(crashes_from(message))
         if news:
             self.spread()
@@ -299,4 +299,4 @@
     def _take_members(self, messages: Iterable[pb.Member]) -> None:
         members = [member_from(m) for m in messages]
         with self._lock:
-            self._membership.hear(members, (), clock.now())
+            self._membership.merge(members, (), clock.now())
--- a/packages/node/src/fielddrift_node/crash_desk.py
+++ b/packages/node/src/fielddrift_node/crash_desk.py
@@ -19,7 +19,7 @@
 from fielddrift_core.interfaces import ExternalSystemError, Row, Table, Transaction, Write
 from fielddrift_core.lost_runs import LostRun, LostRuns
 from fielddrift_core.model import Target
-from fielddrift_core.target_registry import life_name, target_id
+from fielddrift_core.target_registry import instance_name, target_id
 
 from . import clock
 from .log import get
@@ -106,7 +106,7 @@
         """Return the name of the life of `target` that runs now; `epoch` 0 where it is not told."""
         with self._lock:
             number = epoch or self._history.ended_instances(target)
-        return life_name(target, number)
+        return instance_name(target, number)
 
     def broke_off(self, run: LostRun, target: Target) -> None:
         """Take a run that its target's side broke off."""
--- a/packages/node/src/fielddrift_node/serving/cold_gate.py
+++ b/packages/node/src/fielddrift_node/serving/cold_gate.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fielddrift_core.catalog import Service
-from fielddrift_core.cold_targets import OwnShare
+from fielddrift_core.cold_targets import ColdShare
 from fielddrift_core.neighbours import Neighbours
 from fielddrift_core.target_registry import Instance
 
@@ -21,7 +21,7 @@
         self._views = views
         self._neighbours = neighbours
         self._bounds = bounds
-        self._share = OwnShare(node=neighbours.me.name)
+        self._share = ColdShare(node=neighbours.me.name)
 
     def allows(self, service: Service, instance: Instance, now: float) -> bool:
         """Return whether this node may send to `instance`, which is of `service`, now."""
@@ -36,8 +36,8 @@
         if not knows_active_nodes(self._views, self._neighbours, now):
             return False
         nodes = self._neighbours.recently_active(now)
-        sends = self._share.sends(instance.name, nodes, self._max_rate(service), now)
-        return cold.has_room(instance.name, sends, now)
+        sends = self._share.max_sends(instance.name, nodes, self._max_rate(service), now)
+        return cold.may_send(instance.name, sends, now)
 
     def sent(self, instance: Instance, now: float) -> None:
         """Count a request that is about to be sent."""
--- a/packages/node/src/fielddrift_node/serving/heartbeats.py
+++ b/packages/node/src/fielddrift_node/serving/heartbeats.py
@@ -13,7 +13,7 @@
 from fielddrift_core.evacuations import EVACUATIONS_NAME
 from fielddrift_core.neighbours import Heartbeat, Neighbours, Relation
 from fielddrift_core.relays import DataCentreSize, size_entry_name
-from fielddrift_core.target_notices import LimitWord
+from fielddrift_core.target_notices import LimitReport
 from fielddrift_core.workload import Burden
 
 from .notices import log_limit
@@ -152,7 +152,7 @@
     def _apply_limit(self, name: str, entry: Burden, told_by: str) -> None:
         word = _decode_limit(name, entry)
         now = asyncio.get_running_loop().time()
-        if word is not None and self._views.limits.told(word, now):
+        if word is not None and self._views.limits.merge(word, now):
             log_limit(word.target, word.rate, told_by)
 
     def _apply_leaving(self, name: str, told_by: str) -> None:
@@ -163,14 +163,14 @@
         registry.left(name)
 
 
-def _encode_limit(word: LimitWord) -> Burden:
+def _encode_limit(word: LimitReport) -> Burden:
     """Encode a limit as a load: its age in ms, and its rate in thousandths of a request per second
     plus one, 0 for no limit."""
     rate = 0 if word.rate is None else 1 + round(word.rate * 1000)
     return Burden(running=1, unread=round(word.age * 1000), memory=rate)
 
 
-def _decode_limit(name: str, entry: Burden) -> LimitWord | None:
+def _decode_limit(name: str, entry: Burden) -> LimitReport | None:
     """Decode a limit from a load; return None for a sum of the limits of several nodes.
 
     A relay of the previous release takes limits for loads and adds up those of its neighbours.
@@ -178,4 +178,4 @@
     if entry.running != 1:
         return None
     rate = (entry.memory - 1) / 1000 if entry.memory else None
-    return LimitWord(name.removeprefix(_LIMIT_PREFIX), rate, entry.unread / 1000)
+    return LimitReport(name.removeprefix(_LIMIT_PREFIX), rate, entry.unread / 1000)
--- a/packages/node/src/fielddrift_node/serving/limit_gate.py
+++ b/packages/node/src/fielddrift_node/serving/limit_gate.py
@@ -39,7 +39,7 @@
         if not part or not knows_active_nodes(self._views, self._neighbours, now):
             return math.inf
         nodes = self._neighbours.recently_active(now)
-        spacing = self._share.spacing(instance.name, rate * part, nodes, now)
+        spacing = self._share.send_interval(instance.name, rate * part, nodes, now)
         return limits.wait(instance.name, spacing, now)
 
     def sent(self, instance: Instance, now: float) -> None:
--- a/packages/node/src/fielddrift_node/serving/membership.py
+++ b/packages/node/src/fielddrift_node/serving/membership.py
@@ -125,11 +125,11 @@
         alive = {node.name: node for node in self._neighbours.alive(now)}
         self._add_nodes(rows)
         others = {saved.key: saved.version for saved in rows if saved.key != me.name}
-        self._silent_rows.look(others, self._nodes_to_keep(others, rows, alive))
+        self._silent_rows.check(others, self._nodes_to_keep(others, rows, alive))
         listed = {saved.key for saved in rows}
         missing = [node for name, node in {**alive, me.name: me}.items() if name not in listed]
         is_coordinator = self._neighbours.is_local_coordinator(now)
-        obsolete = self._silent_rows.left_behind() if is_coordinator else {}
+        obsolete = self._silent_rows.abandoned() if is_coordinator else {}
         await self._repair(missing, obsolete)
 
     def _nodes_to_keep(
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -382,9 +382,9 @@
         metrics.nodes.set(views.nodes)
         metrics.evacuated.set(len(views.registry.evacuated))
         names = {target.name for target in views.registry.all()}
-        metrics.cold_targets.set(views.cold.settle(names, now))
-        metrics.limited_targets.set(views.limits.settle(names, now))
-        metrics.paused_targets.set(views.pauses.settle(now))
+        metrics.cold_targets.set(views.cold.expire(names, now))
+        metrics.limited_targets.set(views.limits.expire(names, now))
+        metrics.paused_targets.set(views.pauses.expire(now))
         metrics.platform_calls.set(self._platform.calls)
         metrics.store_era.set(self._era or 0)
         metrics.unreadable_rows.set(self._platform.unreadable)
--- a/packages/node/src/fielddrift_node/serving/notices.py
+++ b/packages/node/src/fielddrift_node/serving/notices.py
@@ -38,7 +38,7 @@
         if notice.leaving:
             self._record_leaving(instance)
         self._update_limit(instance.name, notice.limit, served_at, now)
-        if notice.pause > 0 and self._views.pauses.asked(instance.name, notice.pause, now):
+        if notice.pause > 0 and self._views.pauses.record(instance.name, notice.pause, now):
             _log.info("target asks for a pause", target=instance.name, seconds=notice.pause)
 
     def _update_limit(
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -210,7 +210,7 @@
         now = asyncio.get_running_loop().time()
         address, pauses = view.traits.address, self._views.pauses
         if error is not None and error.notice.pause > 0:
-            pauses.asked(address, error.notice.pause, now)
+            pauses.record(address, error.notice.pause, now)
         return pauses.left(address, now)
 
     async def _copy(self, now: float) -> None:
--- a/packages/node/src/fielddrift_node/serving/target_feed.py
+++ b/packages/node/src/fielddrift_node/serving/target_feed.py
@@ -76,7 +76,7 @@
                 self._after = None
                 if gone.store_restored:
                     now = asyncio.get_running_loop().time()
-                    self._views.registry.store_went_back(now)
+                    self._views.registry.store_restored(now)
                     self._lost_at = now
                 continue
             except RemoteCallError as error:
@@ -142,9 +142,9 @@
         row = self._views.targets_row
         store_restored = row > 0 and era_of(copy.row) > era_of(row)
         lost = store_restored or self._lost_at is not None
-        lost = lost or self._views.registry.in_respite(asked_at)
+        lost = lost or self._views.registry.in_grace_period(asked_at)
         self._note_cold(copy.entries, asked_at)
-        self._views.registry.copied(copy.entries, copy.leaving, lapsed, lost=lost)
+        self._views.registry.apply_copy(copy.entries, copy.leaving, lapsed, lost=lost)
         self._views.targets_row = copy.row
         self._after = copy.row
         self._copied = _CopyMark(chosen.name, chosen.boot, copy.serial)
@@ -175,7 +175,7 @@
             for entry in news.entries:
                 registry.heard(entry, now)
             for name in news.ended:
-                registry.gone(name, now)
+                registry.entry_ended(name, now)
         for name in news.unreadable:
             registry.drop(name)
         registry.tick(now)
@@ -191,7 +191,7 @@
         """Note which of `entries`, as far as they are new, tell of targets that are cold."""
         for entry in entries:
             if self._views.registry.get(entry.name) != entry:
-                self._views.cold.told(entry.name, entry.warming, now)
+                self._views.cold.report(entry.name, entry.cold_seconds, now)
 
     def _log_changes(self, before: Listing, told_by: str) -> None:
         after = Listing.of(self._views.registry, asyncio.get_running_loop().time())
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from fielddrift_core.catalog import Catalog
-from fielddrift_core.cold_targets import ColdSends
+from fielddrift_core.cold_targets import ColdTargets
 from fielddrift_core.crashes import CrashHistory
 from fielddrift_core.evacuations import Evacuations
 from fielddrift_core.leaving import DrainWindow
@@ -77,7 +77,7 @@
         self.named_times = NamingTimes()
         self.registry = TargetRegistry()
         self.evacuations = Evacuations()
-        self.cold = ColdSends()
+        self.cold = ColdTargets()
         self.limits = TargetLimits()
         self.pauses = TargetPauses()
         self.workload = Workload()
@@ -146,11 +146,11 @@
         before, after = self.registry.evacuated, self.evacuations.current(now)
         change = EvacuationChange(after - before, before - after)
         if after != before:
-            self.registry.evacuate(after)
+            self.registry.set_evacuated(after)
         for instance in self.registry.all() if change.ended else ():
             service = None if self.catalog is None else self.catalog.services.get(instance.service)
             if service is not None and instance.data_centre in change.ended:
-                self.cold.presume(instance.name, service.cold_seconds, now)
+                self.cold.assume(instance.name, service.cold_seconds, now)
         return change
 
     def update_weights(self, weights: NamedWeights, now: float) -> bool:
--- a/tests/target_views.py
+++ b/tests/target_views.py
@@ -15,7 +15,7 @@
 from fielddrift_core.names import rank
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation
 from fielddrift_core.readers import READER_KEY
-from fielddrift_core.target_registry import RESPITE_SECONDS, Instance
+from fielddrift_core.target_registry import LAPSE_GRACE_SECONDS, Instance
 from fielddrift_node.serving.feeds import FeedTools
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
 from fielddrift_node.serving.ports import HistoryTruncated, RemoteCallError, TargetChanges
@@ -133,7 +133,7 @@
         before = self.lists
         news = self.fleet.store.news(after)
         gone = before - {e.name for e in news.entries} if news.whole else before & {*news.ended}
-        if now - self.failed_at > RESPITE_SECONDS + 2.0:
+        if now - self.failed_at > LAPSE_GRACE_SECONDS + 2.0:
             for name in gone:
                 self.told_ends[name] = ToldEnd(now, self.fleet.store.rows[name])
         return news
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -7,7 +7,7 @@
 import unittest
 from collections import deque
 
-from fielddrift_core.cold_targets import ColdSends, OwnShare, share_of
+from fielddrift_core.cold_targets import ColdShare, ColdTargets, share_of
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours
 from fielddrift_node.serving.settings import Bounds
 from fielddrift_standins.worker import Worker
@@ -53,13 +53,13 @@
 
 class TestColdSends(unittest.TestCase):
     def test_within_any_second_no_more_than_its_part(self) -> None:
-        sends, sent = ColdSends(), deque[float]()
-        sends.told("t", 100.0, 0.0)
+        sends, sent = ColdTargets(), deque[float]()
+        sends.report("t", 100.0, 0.0)
         now = 0.0
         rng = random.Random(3)
         while now < 20.0:
             now += rng.uniform(0.0, 0.1)
-            if sends.has_room("t", 4, now):
+            if sends.may_send("t", 4, now):
                 sends.sent("t", now)
                 sent.append(now)
         for first in sent:
@@ -67,25 +67,25 @@
         self.assertGreater(len(sent), 0.9 * 4 * 20)
 
     def test_cold_until_it_says_otherwise(self) -> None:
-        sends = ColdSends()
-        sends.told("t", 3.0, 10.0)
+        sends = ColdTargets()
+        sends.report("t", 3.0, 10.0)
         self.assertTrue(sends.is_cold("t", 12.9))
         self.assertFalse(sends.is_cold("t", 13.0))
-        sends.told("t", 0.0, 11.0)
+        sends.report("t", 0.0, 11.0)
         self.assertFalse(sends.is_cold("t", 11.0))
 
     def test_what_is_presumed_outlasts_an_entry_of_before(self) -> None:
-        sends = ColdSends()
-        sends.presume("t", 3.0, 10.0)
-        sends.told("t", 0.0, 10.5)
+        sends = ColdTargets()
+        sends.assume("t", 3.0, 10.0)
+        sends.report("t", 0.0, 10.5)
         self.assertTrue(sends.is_cold("t", 12.0))
 
     def test_what_is_over_or_gone_is_forgotten(self) -> None:
-        sends = ColdSends()
+        sends = ColdTargets()
         for name in ("over", "gone", "cold"):
-            sends.told(name, 1.0 if name == "over" else 9.0, 0.0)
+            sends.report(name, 1.0 if name == "over" else 9.0, 0.0)
             sends.sent(name, 0.0)
-        self.assertEqual(sends.settle({"over", "cold"}, 5.0), 1)
+        self.assertEqual(sends.expire({"over", "cold"}, 5.0), 1)
         self.assertTrue(sends.is_cold("cold", 5.0))
         self.assertFalse(sends.is_cold("gone", 5.0))
 
@@ -107,8 +107,8 @@
         self.lost = 0.0
         self.begun: dict[int, float] = {}
         self.nodes: dict[int, Neighbours] = {}
-        self.sends: dict[int, ColdSends] = {}
-        self.shares: dict[int, OwnShare] = {}
+        self.sends: dict[int, ColdTargets] = {}
+        self.shares: dict[int, ColdShare] = {}
         self.arrivals = {name: deque[float]() for name in TARGETS}
         self.worst = 0
         """The most that a target got within a window."""
@@ -123,10 +123,10 @@
         me = Neighbour(f"n{number}", self.boots, "a", f"n{number}:1", "g:1", "p:1", 100.0)
         self.nodes[number] = Neighbours(me=me)
         self.nodes[number].update_self(serving=True, load=40.0)
-        self.sends[number] = ColdSends()
-        self.shares[number] = OwnShare(node=me.name)
+        self.sends[number] = ColdTargets()
+        self.shares[number] = ColdShare(node=me.name)
         for target in TARGETS:
-            self.sends[number].told(target, _COLD, self.now)
+            self.sends[number].report(target, _COLD, self.now)
         self.begun[number] = self.now
         self.frozen.discard(number)
         for other in self.nodes.values():
@@ -176,8 +176,8 @@
             return
         nodes = self.nodes[number].recently_active(self.now)
         for target in TARGETS:
-            sends = self.shares[number].sends(target, nodes, BOUND, self.now)
-            while self.sends[number].has_room(target, sends, self.now):
+            sends = self.shares[number].max_sends(target, nodes, BOUND, self.now)
+            while self.sends[number].may_send(target, sends, self.now):
                 self.sends[number].sent(target, self.now)
                 self._arrive(target)
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -99,12 +99,12 @@
         registry = TargetRegistry()
         for name, centre in (("x", "a"), ("y", "b")):
             registry.heard(Instance(name, "s", f"{name}:1", centre), 0.0)
-        registry.evacuate(frozenset({"a", "nowhere"}))
+        registry.set_evacuated(frozenset({"a", "nowhere"}))
         self.assertEqual([i.name for i in registry.serving("s")], ["y"])
         self.assertEqual(len(registry), 2)
         registry.heard(Instance("z", "s", "z:1", "a"), 0.0)
         self.assertEqual([i.name for i in registry.serving("s")], ["y"])
-        registry.evacuate(frozenset())
+        registry.set_evacuated(frozenset())
         self.assertEqual(len(registry.serving("s")), 3)
 
 
--- a/tests/test_limit_share.py
+++ b/tests/test_limit_share.py
@@ -10,7 +10,7 @@
 import msgspec
 from fielddrift_core.limit_share import LimitShare, owners_of
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours, Relation
-from fielddrift_core.target_notices import LimitWord, TargetLimits, TargetPauses
+from fielddrift_core.target_notices import LimitReport, TargetLimits, TargetPauses
 from fielddrift_core.target_registry import Instance
 from fielddrift_node.serving.heartbeats import HeartbeatTranslator
 from fielddrift_node.serving.limit_gate import LimitGate
@@ -55,7 +55,7 @@
             return
         nodes = self.nodes[number].recently_active(self.now)
         for target in TARGETS:
-            spacing = self._limits[number].spacing(target, self._rate, nodes, self.now)
+            spacing = self._limits[number].send_interval(target, self._rate, nodes, self.now)
             if self._sent[number].wait(target, spacing, self.now) <= 0:
                 self._sent[number].sent(target, self.now)
                 self._arrive(target)
@@ -116,9 +116,9 @@
         (other,) = nodes - owners
         lost = min(owners)
         share = LimitShare(node=other)
-        self.assertEqual(share.spacing("t", 1.0, nodes, 0.0), float("inf"))
-        self.assertEqual(share.spacing("t", 1.0, nodes - {lost}, 1.0), float("inf"))
-        self.assertEqual(share.spacing("t", 1.0, nodes - {lost}, 5.6), 3.0)
+        self.assertEqual(share.send_interval("t", 1.0, nodes, 0.0), float("inf"))
+        self.assertEqual(share.send_interval("t", 1.0, nodes - {lost}, 1.0), float("inf"))
+        self.assertEqual(share.send_interval("t", 1.0, nodes - {lost}, 5.6), 3.0)
 
 
 class TestLimitGate(unittest.TestCase):
@@ -173,10 +173,10 @@
     def test_the_newer_word_holds_whatever_the_order_of_heartbeats(self) -> None:
         limits = TargetLimits()
         limits.named("t", 1.5, 10.0)
-        self.assertTrue(limits.told(LimitWord("t", None, 0.1), 11.0))
-        self.assertFalse(limits.told(LimitWord("t", 1.5, 1.0), 11.1))
+        self.assertTrue(limits.merge(LimitReport("t", None, 0.1), 11.0))
+        self.assertFalse(limits.merge(LimitReport("t", 1.5, 1.0), 11.1))
         self.assertIsNone(limits.rate("t"))
-        self.assertTrue(limits.told(LimitWord("t", 2.0, 0.0), 11.2))
+        self.assertTrue(limits.merge(LimitReport("t", 2.0, 0.0), 11.2))
         self.assertEqual(limits.rate("t"), 2.0)
 
     def test_nodes_that_tell_each_other_the_same_word_do_not_renew_it(self) -> None:
@@ -188,15 +188,15 @@
                 words = teller.words(now, 16)
                 now += 0.02
                 for word in words:
-                    hearer.told(word, now)
+                    hearer.merge(word, now)
         self.assertGreater(one.words(now, 16)[0].age, now - 0.5)
 
     def test_a_limit_outlasts_an_entry_that_lapses(self) -> None:
         limits = TargetLimits()
         limits.named("t", 1.5, 0.0)
-        self.assertEqual(limits.settle(set(), 30.0), 1)
-        self.assertEqual(limits.settle({"t"}, 300.0), 1)
-        self.assertEqual(limits.settle(set(), 301.0), 0)
+        self.assertEqual(limits.expire(set(), 30.0), 1)
+        self.assertEqual(limits.expire({"t"}, 300.0), 1)
+        self.assertEqual(limits.expire(set(), 301.0), 0)
 
     def test_the_newest_words_are_told(self) -> None:
         limits = TargetLimits()
@@ -260,20 +260,20 @@
 class TestPauses(unittest.TestCase):
     def test_a_pause_lasts_as_long_as_the_longest_that_was_asked_for(self) -> None:
         pauses = TargetPauses()
-        self.assertTrue(pauses.asked("t", 3.0, 10.0))
-        self.assertFalse(pauses.asked("t", 0.5, 11.0))
+        self.assertTrue(pauses.record("t", 3.0, 10.0))
+        self.assertFalse(pauses.record("t", 0.5, 11.0))
         self.assertEqual(pauses.left("t", 12.0), 1.0)
         self.assertEqual(pauses.left("t", 13.0), 0.0)
         self.assertEqual(pauses.left("u", 11.0), 0.0)
 
     def test_the_first_that_takes_requests_counts(self) -> None:
         pauses = TargetPauses()
-        pauses.asked("t", 3.0, 10.0)
-        pauses.asked("u", 2.0, 10.0)
-        self.assertEqual(pauses.soonest(["t", "u"], 11.0), 1.0)
-        self.assertEqual(pauses.soonest(["t", "u", "v"], 11.0), 0.0)
-        self.assertEqual(pauses.soonest([], 11.0), 0.0)
-        self.assertEqual(pauses.settle(12.5), 1)
+        pauses.record("t", 3.0, 10.0)
+        pauses.record("u", 2.0, 10.0)
+        self.assertEqual(pauses.min_left(["t", "u"], 11.0), 1.0)
+        self.assertEqual(pauses.min_left(["t", "u", "v"], 11.0), 0.0)
+        self.assertEqual(pauses.min_left([], 11.0), 0.0)
+        self.assertEqual(pauses.expire(12.5), 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,8 +7,8 @@
 
 from fielddrift_core.entry import SPREAD_NODE_COUNT, audience, order
 from fielddrift_core.membership import (
-    SUSPECT_SECONDS,
-    UPDATES_A_MESSAGE,
+    MAX_UPDATES_PER_MESSAGE,
+    SUSPICION_TIMEOUT_SECONDS,
     Member,
     Membership,
     Status,
@@ -23,13 +23,13 @@
 def fleet(size: int) -> list[Membership]:
     views = [Membership(me=member(n), rng=random.Random(n)) for n in range(size)]
     for view in views:
-        view.hear([member(n) for n in range(size)], (), 0.0)
+        view.merge([member(n) for n in range(size)], (), 0.0)
     return views
 
 
 def exchange(one: Membership, two: Membership, now: float) -> None:
-    two.hear(*one.outgoing(), now)
-    one.hear(*two.outgoing(), now)
+    two.merge(*one.next_updates(), now)
+    one.merge(*two.next_updates(), now)
 
 
 def rounds_until(views: list[Membership], done: object, most: int = 200) -> int:
@@ -48,14 +48,14 @@
 class MembershipTest(unittest.TestCase):
     def test_a_silent_member_is_suspected_then_dead(self) -> None:
         view = fleet(3)[0]
-        view.probe_failed("p1", 10.0)
+        view.record_probe_failure("p1", 10.0)
         self.assertNotIn("p1", [m.name for m in view.usable()])
-        self.assertEqual(view.expire(10.0 + SUSPECT_SECONDS - 0.1), [])
-        self.assertEqual([m.name for m in view.expire(10.0 + SUSPECT_SECONDS)], ["p1"])
+        self.assertEqual(view.expire(10.0 + SUSPICION_TIMEOUT_SECONDS - 0.1), [])
+        self.assertEqual([m.name for m in view.expire(10.0 + SUSPICION_TIMEOUT_SECONDS)], ["p1"])
 
     def test_a_living_member_denies_its_suspicion(self) -> None:
         views = fleet(3)
-        views[0].probe_failed("p1", 0.0)
+        views[0].record_probe_failure("p1", 0.0)
         exchange(views[0], views[1], 0.1)
         exchange(views[0], views[1], 0.2)
         self.assertIn("p1", [m.name for m in views[0].usable()])
@@ -64,38 +64,38 @@
     def test_a_returned_member_denies_its_own_death(self) -> None:
         views = fleet(2)
         dead = views[1].me._replace(status=Status.DEAD)
-        views[0].hear([dead], (), 0.0)
-        views[1].hear([dead], (), 0.0)
+        views[0].merge([dead], (), 0.0)
+        views[1].merge([dead], (), 0.0)
         exchange(views[1], views[0], 0.1)
         self.assertIn("p1", [m.name for m in views[0].usable()])
 
     def test_leaving_is_not_denied(self) -> None:
         view = fleet(2)[0]
-        view.hear([view.me._replace(status=Status.LEAVING)], (), 0.0)
+        view.merge([view.me._replace(status=Status.LEAVING)], (), 0.0)
         self.assertIs(view.me.status, Status.LEAVING)
         self.assertEqual(view.me.incarnation, 1)
 
     def test_a_word_on_a_target_reaches_all_in_few_rounds(self) -> None:
         views = fleet(64)
-        views[0].hear_target(TargetWord("t", 1, True))
+        views[0].merge_target(TargetWord("t", 1, True))
         rounds = rounds_until(views, lambda view: view.target_word("t") is not None)
         self.assertLessEqual(rounds, 10)
 
     def test_leaving_holds_for_the_epoch_and_ends_with_the_next(self) -> None:
         view = fleet(1)[0]
-        view.hear_target(TargetWord("t", 5, True))
-        self.assertFalse(view.hear_target(TargetWord("t", 5, False)))
-        self.assertFalse(view.hear_target(TargetWord("t", 4, False)))
-        self.assertTrue(view.hear_target(TargetWord("t", 6, False)))
+        view.merge_target(TargetWord("t", 5, True))
+        self.assertFalse(view.merge_target(TargetWord("t", 5, False)))
+        self.assertFalse(view.merge_target(TargetWord("t", 4, False)))
+        self.assertTrue(view.merge_target(TargetWord("t", 6, False)))
 
     def test_a_message_stays_small_however_many_members_there_are(self) -> None:
         view = fleet(400)[0]
-        members, words = view.outgoing()
-        self.assertLessEqual(len(members) + len(words), UPDATES_A_MESSAGE)
+        members, words = view.next_updates()
+        self.assertLessEqual(len(members) + len(words), MAX_UPDATES_PER_MESSAGE)
 
     def test_entry_names_the_nearest_first_and_none_that_is_suspected(self) -> None:
         view = fleet(6)[0]
-        view.probe_failed("p2", 0.0)
+        view.record_probe_failure("p2", 0.0)
         answer = order(view.usable(), data_centre="dc-b", model="m")
         self.assertEqual(set(answer.addresses[:2]), {"h0", "h4"})
         self.assertNotIn("h2", answer.addresses)
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -42,23 +42,23 @@
 
     def _look(self, times: int, versions: dict[str, int], heard: Sequence[str] = ("me",)) -> None:
         for _ in range(times):
-            self.rows.look(versions, heard)
+            self.rows.check(versions, heard)
 
     def test_a_row_is_left_behind_after_many_looks_without_its_node(self) -> None:
         self._look(LOOKS - 1, {"old": 7, "live": 8}, ["live"])
-        self.assertEqual(self.rows.left_behind(), {})
+        self.assertEqual(self.rows.abandoned(), {})
         self._look(1, {"old": 7, "live": 8}, ["live"])
-        self.assertEqual(self.rows.left_behind(), {"old": 7})
+        self.assertEqual(self.rows.abandoned(), {"old": 7})
 
     def test_a_start_or_a_heartbeat_begins_the_count_anew(self) -> None:
         self._look(LOOKS - 1, {"started": 7, "heard": 8})
         self._look(1, {"started": 9, "heard": 8}, ["heard"])
         self._look(LOOKS - 1, {"started": 9, "heard": 8})
-        self.assertEqual(self.rows.left_behind(), {"started": 9})
+        self.assertEqual(self.rows.abandoned(), {"started": 9})
 
     def test_a_node_that_hears_nobody_counts_nothing(self) -> None:
         self._look(2 * LOOKS, {"n1": 1, "n2": 2}, [])
-        self.assertEqual(self.rows.left_behind(), {})
+        self.assertEqual(self.rows.abandoned(), {})
 
 
 class Table:
--- a/tests/test_platform_decisions.py
+++ b/tests/test_platform_decisions.py
@@ -11,7 +11,7 @@
 from fielddrift_core.prompt import Part
 from fielddrift_core.retries import WindowBudget
 from fielddrift_core.stream import EventFramer
-from fielddrift_core.target_registry import RESPITE_SECONDS, Instance, TargetRegistry
+from fielddrift_core.target_registry import LAPSE_GRACE_SECONDS, Instance, TargetRegistry
 from fielddrift_core.workload import Burden, Lateness, TargetHealth, Workload
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -26,23 +26,23 @@
         registry = TargetRegistry()
         registry.heard(instance("w"), 0.0)
         registry.store_returned(10.0)
-        registry.gone("w", 10.1)
+        registry.entry_ended("w", 10.1)
         self.assertEqual(len(registry.serving("s")), 1)
-        registry.tick(10.0 + RESPITE_SECONDS)
+        registry.tick(10.0 + LAPSE_GRACE_SECONDS)
         self.assertEqual(registry.serving("s"), [])
 
     def test_an_end_in_fair_weather_holds_at_once(self) -> None:
         registry = TargetRegistry()
         registry.heard(instance("w"), 0.0)
-        registry.gone("w", 1.0)
+        registry.entry_ended("w", 1.0)
         self.assertEqual(len(registry), 0)
 
     def test_leaving_is_final_whoever_said_it_first(self) -> None:
         registry = TargetRegistry()
         registry.heard(instance("w"), 0.0)
         registry.left("w")
-        registry.heard(instance("w", warming=1.0), 1.0)
-        registry.copied([instance("w")], [])
+        registry.heard(instance("w", cold_seconds=1.0), 1.0)
+        registry.apply_copy([instance("w")], [])
         self.assertEqual(registry.serving("s"), [])
 
 
--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -409,23 +409,25 @@
         self.door.turned_away = True
         await self._falls_not_behind()
         # The reading that failed at first counts as an outage until others have read for long.
-        await eventually(lambda: not registry.in_respite(loop.time()))
+        await eventually(lambda: not registry.in_grace_period(loop.time()))
         self.door.turned_away = False
         # A fetch from another node may have failed meanwhile, and a reading in its place: the
         # next reading, its own or another's, is the end of that outage and begins a respite.
         feed = self.cut.node._targets
-        await eventually(lambda: feed._lost_at is None and not registry.in_respite(loop.time()))
+        await eventually(
+            lambda: feed._lost_at is None and not registry.in_grace_period(loop.time())
+        )
         for node in self.others:
             await node.stop()
         # The first reading of its own finds the entry gone; that was no outage.
         held: list[bool] = []
-        gone = registry.gone
+        entry_ended = registry.entry_ended
 
         def note_end(target: str, now: float) -> None:
-            gone(target, now)
+            entry_ended(target, now)
             held.append("w2" in registry.lapsed(now))
 
-        with mock.patch.object(registry, "gone", note_end):
+        with mock.patch.object(registry, "entry_ended", note_end):
             self.fleet.store.drop("servers", "w2")
             await eventually(lambda: registry.get("w2") is None)
         # The reading that found it gone ended it, however long that reading took to come.
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -15,7 +15,7 @@
 
 from fielddrift_core.crashes import Crash
 from fielddrift_core.eras import combine
-from fielddrift_core.target_registry import RESPITE_SECONDS
+from fielddrift_core.target_registry import LAPSE_GRACE_SECONDS
 from fielddrift_node.serving.ports import HistoryTruncated, RemoteCallError, RowWrite
 from fielddrift_node.web.client import Reply
 from fielddrift_node.web.messages import Headers, ResponseHead
@@ -149,7 +149,7 @@
             self.assertIn("younger", {t.name for t in node.node.views.registry.serving("plain")})
             await asyncio.sleep(0.05)
         self.fleet.enter("younger", "plain")
-        await asyncio.sleep(RESPITE_SECONDS)
+        await asyncio.sleep(LAPSE_GRACE_SECONDS)
         await self._known(node, {"w0", "w1", "younger"})
 
     async def test_one_that_is_not_written_again_is_gone(self) -> None:
--- a/tests/test_target_leaving.py
+++ b/tests/test_target_leaving.py
@@ -30,7 +30,7 @@
 
     def test_an_entry_that_lapses_and_returns_does_not_make_it_ready(self) -> None:
         self.registry.store_returned(10.0)
-        self.registry.gone("t", 10.5)
+        self.registry.entry_ended("t", 10.5)
         self.registry.tick(20.0)
         self.registry.heard(self.entry, 21.0)
         self.assertEqual(self.serving(), [])
@@ -41,8 +41,8 @@
         self.assertEqual(self.serving(), [])
 
     def test_a_copy_of_a_node_that_has_not_heard_does_not_make_it_ready(self) -> None:
-        self.registry.copied([], [])
-        self.registry.copied([self.entry], [])
+        self.registry.apply_copy([], [])
+        self.registry.apply_copy([self.entry], [])
         self.assertEqual(self.serving(), [])
 
     def test_what_is_told_before_its_entry_is_known_counts(self) -> None:
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -17,7 +17,7 @@
 
 import msgspec
 from fielddrift_core.placement import PREFILL_TOKENS_PER_SECOND
-from fielddrift_core.target_registry import Instance, TargetRegistry, life_name, target_id
+from fielddrift_core.target_registry import Instance, TargetRegistry, instance_name, target_id
 from fielddrift_node.serving.ports import OutgoingRequest, RemoteCallError
 from fielddrift_node.serving.views import Views
 from fielddrift_node.web.client import Reply
@@ -52,15 +52,15 @@
     def test_each_life_has_its_own_name_that_tells_the_id(
         self, target: str, born: int | None
     ) -> None:
-        self.assertEqual(target_id(life_name(target, born)), target)
+        self.assertEqual(target_id(instance_name(target, born)), target)
 
     @given(st.text(alphabet="ab#12"), st.text(alphabet="ab#12"), st.integers(0, 99))
     @settings(derandomize=True)
     def test_no_two_lives_have_one_name(self, one: str, other: str, born: int) -> None:
         if one != other:
-            self.assertNotEqual(life_name(one, born), life_name(other, born))
-            self.assertNotEqual(life_name(one, None), life_name(other, born))
-        self.assertNotEqual(life_name(one, born), life_name(one, born + 1))
+            self.assertNotEqual(instance_name(one, born), instance_name(other, born))
+            self.assertNotEqual(instance_name(one, None), instance_name(other, born))
+        self.assertNotEqual(instance_name(one, born), instance_name(one, born + 1))
 
 
 class TestRegistry(unittest.TestCase):
@@ -97,13 +97,13 @@
 
     def test_the_end_of_an_entry_names_the_target_and_ends_its_life(self) -> None:
         self._hear(1)
-        self.registry.gone("e", 0.0)
+        self.registry.entry_ended("e", 0.0)
         self.assertEqual(len(self.registry), 0)
 
     def test_a_life_that_lapsed_is_not_held_beside_the_next(self) -> None:
         self._hear(1)
         self.registry.store_returned(0.0)
-        self.registry.gone("e", 0.1)
+        self.registry.entry_ended("e", 0.1)
         self.assertEqual(len(self.registry.lapsed(0.2)), 1)
         found = self._hear(2)
         self.assertEqual(list(self.registry.all()), [found])
@@ -141,13 +141,13 @@
                 self.assertEqual(list(registry.all()), [found])
                 self.assertLessEqual(registry.leaving(), {found.name})
             elif kind == "gone":
-                registry.gone("e", now)
+                registry.entry_ended("e", now)
             elif kind == "returned":
                 registry.store_returned(now)
             elif kind == "left":
                 registry.left(found.name)
             else:
-                registry.copied([found], [], lost=flag)
+                registry.apply_copy([found], [], lost=flag)
             self.assertLessEqual(len(registry), 1)
             self.assertLessEqual(registry.leaving(), {i.name for i in registry.all()})
             self.assertLessEqual(registry.lapsed(now).keys(), {i.name for i in registry.all()})
--- a/tests/test_target_view_walk.py
+++ b/tests/test_target_view_walk.py
@@ -160,7 +160,7 @@
     registry._instances = {entry.name: entry for entry in entries}
     registry._lapsed = dict(lapsed)
     registry._leaving |= {*leaving}
-    registry._sort()
+    registry._changed()
 
 
 class TargetViewWalkTest(unittest.TestCase):
@@ -182,7 +182,7 @@
 
     def test_taking_an_end_back_that_was_read_is_found(self) -> None:
         with (
-            mock.patch.object(TargetRegistry, "copied", _copied_back),
+            mock.patch.object(TargetRegistry, "apply_copy", _copied_back),
             self.assertRaisesRegex(AssertionError, "sends to"),
         ):
             explore(TargetViewWalk, examples=EXAMPLES)
