--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -333,7 +333,7 @@
             if delay > PAUSE_THRESHOLD_SECONDS:
                 _log.warning("this process was paused", seconds=round(delay, 2))
                 self._operators.again()
-                self._targets.again()
+                self._targets.read_now()
             self._check_store_era(loop.time())
             for data_centre in self._views.apply_evacuations(loop.time()).ended:
                 _log.warning("evacuation held no longer", data_centre=data_centre)
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -183,23 +183,23 @@
                 self._loops[address] = asyncio.ensure_future(self._follow_store(view))
 
     async def _follow_store(self, view: StoreView) -> None:
-        is_lost = False
+        lost = False
         while True:
             try:
                 if not view.is_known:
                     await self._read_all(view)
                 await self._poll_events(view)
-                if is_lost:
+                if lost:
                     _log.info("dependency regained", what="store host", store=view.traits.address)
-                is_lost = False
+                lost = False
                 await asyncio.sleep(_POLL_INTERVAL_SECONDS)
             except RemoteCallError as error:
-                if not is_lost:
+                if not lost:
                     address = view.traits.address
                     _log.warning(
                         "dependency lost", what="store host", store=address, error=str(error)
                     )
-                is_lost = True
+                lost = True
                 view.unknown()
                 delay = self._rng.uniform(_RETRY_SECONDS / 2, _RETRY_SECONDS)
                 await asyncio.sleep(max(delay, self._pause_seconds(view, error)))
--- a/packages/node/src/fielddrift_node/serving/target_feed.py
+++ b/packages/node/src/fielddrift_node/serving/target_feed.py
@@ -1,4 +1,4 @@
-"""Keep the view of the targets' entries up to date."""
+"""Follow the target entries in the platform's store and keep the target registry up to date."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 from .feeds import Feed, FeedTools
 from .ports import HistoryTruncated, RemoteCallError
-from .target_listing import Listing
+from .target_listing import RegistrySnapshot
 
 __all__ = ["TargetFeed"]
 
 _log = structlog.get_logger()
 
 
-class _CopyMark(NamedTuple):
-    """Whose list was copied; a node counts its serial anew in each of its lives."""
+class _CopyVersion(NamedTuple):
+    """The version of a list copied from a node, whose serial restarts with each process."""
 
     name: str
     boot: int
     serial: int
 
 
-def _mark(node: Neighbour, reading: ReadState) -> _CopyMark:
-    return _CopyMark(node.name, node.boot, reading.serial)
+def _version_of(node: Neighbour, reading: ReadState) -> _CopyVersion:
+    return _CopyVersion(node.name, node.boot, reading.serial)
 
 
 class TargetFeed(Feed):
-    """Follow the targets' entries: by reading now and then, or by the reader's heartbeats."""
+    """Follows the target entries by reading them periodically or by copying them from a reader."""
 
     def __init__(
         self,
@@ -46,88 +46,89 @@
     ) -> None:
         super().__init__(what="target entries", tools=tools, on_change=on_change)
         self._returned = returned
-        self._copied: _CopyMark | None = None
-        self._lost_at: float | None = None
-        """When the store last gave no answer, None once the list is known as of later:
-        entries may have lapsed unseen since."""
+        self._copied_version: _CopyVersion | None = None
+        self._outage_at: float | None = None
+        """When the store last failed to answer; None once a list read or copied is newer. Entries
+        may have expired in the meantime without being read."""
         self._wake = asyncio.Event()
 
     def heard(self, node: Neighbour, reading: ReadState) -> None:
-        """Take how far `node` has read; look at once where it is the reader."""
+        """Handle the read state in a heartbeat; update at once if `node` is the source."""
         self.returned()
-        copied = self._copied
-        if copied is not None and copied.name == node.name and copied != _mark(node, reading):
+        copied = self._copied_version
+        if copied is not None and copied.name == node.name and copied != _version_of(node, reading):
             self._wake.set()
 
-    def again(self) -> None:
+    def read_now(self) -> None:
         """Read at once."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Follow the entries until cancelled."""
         while True:
-            # Cleared before the turn: what wakes it during a reading, such as the end of
-            # a pause of this process, asks for another reading after it.
+            # Cleared before the update, so that an event during the update, such as the end of a
+            # pause of this process, causes another one.
             self._wake.clear()
             try:
-                seconds = await self._turn()
+                seconds = await self._update()
             except HistoryTruncated as gone:
                 _log.info("history gone", what="target entries", after=self._after)
                 self._after = None
                 if gone.store_restored:
                     now = asyncio.get_running_loop().time()
                     self._views.registry.store_restored(now)
-                    self._lost_at = now
+                    self._outage_at = now
                 continue
             except RemoteCallError as error:
-                self._lost_at = asyncio.get_running_loop().time()
-                self._give_up("nobody", away=True)
+                self._outage_at = asyncio.get_running_loop().time()
+                self._drop_expired("nobody", away=True)
                 await self._back_off(error)
                 continue
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
                     await self._wake.wait()
 
-    async def _turn(self) -> float:
-        """Bring the list up to date; return the seconds until the next turn."""
+    async def _update(self) -> float:
+        """Update the list and return the seconds until the next update."""
         chosen = self.reader()
-        # After a pause it reads for itself first, and relies on others only if that fails.
-        relies = not self._views.stale.is_set() or self._backoff.failing
-        if chosen is not None and relies and await self._rely_on(chosen):
+        # After a pause this node first reads itself, and uses other nodes only if that fails.
+        may_copy = not self._views.stale.is_set() or self._backoff.failing
+        if chosen is not None and may_copy and await self._follow_source(chosen):
             return self._reader_check_seconds()
         await self._read()
         return read_interval_seconds(self._max_staleness_seconds)
 
-    async def _rely_on(self, chosen: Neighbour) -> bool:
-        """Follow what another node lists; return whether it could be asked."""
+    async def _follow_source(self, chosen: Neighbour) -> bool:
+        """Copy the list from another node if it is newer; return whether that node could be
+        asked."""
         now = asyncio.get_running_loop().time()
         reading = self._reading_of(chosen, now)
-        if self._lost_at is not None and now - reading.age > self._lost_at:
-            # The other's reading tells of the store's return as well as one of its own.
+        if self._outage_at is not None and now - reading.age > self._outage_at:
+            # A later read by the source proves, like one by this node, that the store is back.
             self._views.registry.store_returned(now - reading.age)
-            self._lost_at = None
+            self._outage_at = None
         if (
             reading.targets >= self._views.targets_row
-            and _mark(chosen, reading) != self._copied
-            and not await self._copy(chosen)
+            and _version_of(chosen, reading) != self._copied_version
+            and not await self._copy_from(chosen)
         ):
             return False
-        self._give_up(chosen.name)
+        self._drop_expired(chosen.name)
         if not self.is_local(chosen):
-            # Who relies on this node judges what it has by the age that it came with.
+            # Nodes that copy from this one judge its list by the age it had at its source.
             self._views.targets_read_at = max(self._views.targets_read_at, now - reading.age)
         return True
 
-    def _give_up(self, told_by: str, *, away: bool = False) -> None:
-        """Give up entries whose respite is over, as a reading does."""
+    def _drop_expired(self, told_by: str, *, away: bool = False) -> None:
+        """Drop entries whose grace period has ended, as a read from the platform does."""
         now = asyncio.get_running_loop().time()
-        before = Listing.of(self._views.registry, now)
+        before = RegistrySnapshot.of(self._views.registry, now)
         if before.lapsed:
             self._views.registry.tick(now, away=away)
             self._log_changes(before, told_by)
 
-    async def _copy(self, chosen: Neighbour) -> bool:
-        asked_at = asyncio.get_running_loop().time()
+    async def _copy_from(self, chosen: Neighbour) -> bool:
+        requested_at = asyncio.get_running_loop().time()
         try:
             copy = await self._peers.targets(chosen)
         except RemoteCallError as error:
@@ -135,19 +136,19 @@
             return False
         if copy.row < self._views.targets_row:
             return False
-        before = Listing.of(self._views.registry, asyncio.get_running_loop().time())
-        # Counted from the question: no respite grows longer by being handed on.
-        lapsed = {name: asked_at + seconds for name, seconds in copy.lapsed.items()}
-        # An entry that the store has lost is held, until its target has written it again.
+        before = RegistrySnapshot.of(self._views.registry, asyncio.get_running_loop().time())
+        # Counted from the request, so that copying does not extend any grace period.
+        lapsed = {name: requested_at + seconds for name, seconds in copy.lapsed.items()}
+        # An entry that the store has lost is held until its target has written it again.
         row = self._views.targets_row
         store_restored = row > 0 and era_of(copy.row) > era_of(row)
-        lost = store_restored or self._lost_at is not None
-        lost = lost or self._views.registry.in_grace_period(asked_at)
-        self._note_cold(copy.entries, asked_at)
+        lost = store_restored or self._outage_at is not None
+        lost = lost or self._views.registry.in_grace_period(requested_at)
+        self._record_cold(copy.entries, requested_at)
         self._views.registry.apply_copy(copy.entries, copy.leaving, lapsed, lost=lost)
         self._views.targets_row = copy.row
         self._after = copy.row
-        self._copied = _CopyMark(chosen.name, chosen.boot, copy.serial)
+        self._copied_version = _CopyVersion(chosen.name, chosen.boot, copy.serial)
         _log.info(
             "targets copied",
             told_by=chosen.name,
@@ -162,13 +163,13 @@
         news = await self._platform.target_changes(self._after)
         now = asyncio.get_running_loop().time()
         registry = self._views.registry
-        if self._lost_at is not None:
+        if self._outage_at is not None:
             registry.store_returned(now)
             self._returned()
-        self._lost_at = None
+        self._outage_at = None
         self._backoff.succeeded()
-        serial, before = registry.serial, Listing.of(registry, now)
-        self._note_cold(news.entries, now)
+        serial, before = registry.serial, RegistrySnapshot.of(registry, now)
+        self._record_cold(news.entries, now)
         if news.whole:
             registry.replaced(news.entries, now)
         else:
@@ -183,18 +184,18 @@
         self._views.targets_row = max(self._views.targets_row, news.version)
         self._log_changes(before, "platform")
         self._views.targets_read_at = now
-        self._copied = None
+        self._copied_version = None
         if registry.serial != serial:
             self._on_change()
 
-    def _note_cold(self, entries: Iterable[Instance], now: float) -> None:
-        """Note which of `entries`, as far as they are new, tell of targets that are cold."""
+    def _record_cold(self, entries: Iterable[Instance], now: float) -> None:
+        """Record which of the new or changed `entries` report cold targets."""
         for entry in entries:
             if self._views.registry.get(entry.name) != entry:
                 self._views.cold.report(entry.name, entry.cold_seconds, now)
 
-    def _log_changes(self, before: Listing, told_by: str) -> None:
-        after = Listing.of(self._views.registry, asyncio.get_running_loop().time())
+    def _log_changes(self, before: RegistrySnapshot, told_by: str) -> None:
+        after = RegistrySnapshot.of(self._views.registry, asyncio.get_running_loop().time())
         for change in after.changes_since(before):
             _log.info(
                 change.event,
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -314,7 +314,7 @@
 
 class ReadingBeforeAPauseTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_reading_from_before_a_pause_is_not_the_one_after_it(self) -> None:
-        """`again` asks for a reading at once; the end of the one under way cleared that."""
+        """`read_now` asks for a reading at once; the end of the one under way cleared that."""
         node = ViewNode(name="node-1", boot=1, fleet=mock.Mock(spec=TargetFleet))
         calls: list[asyncio.Future[TargetChanges]] = []
 
@@ -326,7 +326,7 @@
         running = asyncio.ensure_future(node.feed.run())
         self.addCleanup(running.cancel)
         await eventually(lambda: len(calls) == 1)
-        node.feed.again()
+        node.feed.read_now()
         calls[0].set_result(TargetChanges((), (), 1, whole=True))
         await asyncio.sleep(0.05)
         self.assertEqual(len(calls), 2)
--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -415,7 +415,7 @@
         # next reading, its own or another's, is the end of that outage and begins a respite.
         feed = self.cut.node._targets
         await eventually(
-            lambda: feed._lost_at is None and not registry.in_grace_period(loop.time())
+            lambda: feed._outage_at is None and not registry.in_grace_period(loop.time())
         )
         for node in self.others:
             await node.stop()
@@ -427,7 +427,7 @@
             entry_ended(target, now)
             held.append("w2" in registry.lapsed(now))
 
-        with mock.patch.object(registry, "entry_ended", note_end):
+        with mock.patch.object(registry, "gone", note_end):
             self.fleet.store.drop("servers", "w2")
             await eventually(lambda: registry.get("w2") is None)
         # The reading that found it gone ended it, however long that reading took to come.
--- a/tests/test_target_views_held.py
+++ b/tests/test_target_views_held.py
@@ -82,7 +82,7 @@
         node = fleet.nodes[SECOND]
         node.cut_off = True
         node.views.stale.set()
-        node.feed.again()
+        node.feed.read_now()
         fleet.store.end("x")
         fleet.wait(5.0)
         self.assertEqual(fleet.nodes[FIRST].lists, {"y"})
