--- a/bench/cold.py
+++ b/bench/cold.py
@@ -70,7 +70,7 @@
         node: str, target: str, hears: frozenset[str], late: frozenset[str], now: float
     ) -> int:
         share = shares.setdefault(node, ColdShare(node=node))
-        return share.max_sends(target, late, _BOUND, now)
+        return share.sends(target, late, _BOUND, now)
 
     return sends
 
--- a/packages/core/src/fielddrift_core/cold_targets.py
+++ b/packages/core/src/fielddrift_core/cold_targets.py
@@ -67,7 +67,7 @@
         self._node = node
         self._recent = RecentNodes(hold=_HANDOVER_SECONDS)
 
-    def max_sends(self, target: str, nodes: frozenset[str], bound: float, now: float) -> int:
+    def sends(self, target: str, nodes: frozenset[str], bound: float, now: float) -> int:
         """Return how often the node may send to `target` within any second.
 
         `nodes` are the recently active ones.
@@ -107,10 +107,10 @@
             return False
         return now < max(self._reported.get(target, now), self._assumed.get(target, now))
 
-    def may_send(self, target: str, max_sends: int, now: float) -> bool:
-        """Return whether this node may send now, with at most `max_sends` within any second."""
+    def may_send(self, target: str, sends: int, now: float) -> bool:
+        """Return whether this node may send now, with at most `sends` within any second."""
         recent = self._recent(target, now)
-        return len(recent) < max_sends
+        return len(recent) < sends
 
     def sent(self, target: str, now: float) -> None:
         """Record a send to a target."""
--- a/packages/node/src/fielddrift_node/serving/cold_gate.py
+++ b/packages/node/src/fielddrift_node/serving/cold_gate.py
@@ -36,7 +36,7 @@
         if not knows_active_nodes(self._views, self._neighbours, now):
             return False
         nodes = self._neighbours.recently_active(now)
-        sends = self._share.max_sends(instance.name, nodes, self._max_rate(service), now)
+        sends = self._share.sends(instance.name, nodes, self._max_rate(service), now)
         return cold.may_send(instance.name, sends, now)
 
     def sent(self, instance: Instance, now: float) -> None:
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -1,4 +1,4 @@
-"""Cold targets get no more than they bear from all nodes together, and much of it is used."""
+"""Cold targets get no more sends than they bear from all nodes, and most of that is used."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from .platform_fleet import BOUNDS, FleetCase, ask, eventually, prompt
 
 BOUND = 21.5
-"""What a cold engine of a deployment bears within any second."""
+"""Sends within any second that a cold engine of a deployment bears."""
 _STEP_SECONDS = 0.05
 _HEARTBEAT_SECONDS = 0.15
 _COLD = 3600.0
@@ -26,7 +26,7 @@
 
 
 class TestShares(unittest.TestCase):
-    def test_all_parts_and_one_more_stay_within_the_bound(self) -> None:
+    def test_all_shares_and_one_more_are_within_the_bound(self) -> None:
         for bound in (1.0, 2.0, 5.5, 6.5, 21.5, 40.0):
             for count in range(1, 80):
                 share = share_of("t", frozenset(f"n{i}" for i in range(count)), bound)
@@ -46,13 +46,13 @@
         self.assertGreater(len(owned), 55)
         self.assertLess(max(owned.values()), 20)
 
-    def test_nobody_owns_what_bears_nothing(self) -> None:
+    def test_a_target_that_bears_no_sends_has_no_owners(self) -> None:
         self.assertEqual(share_of("t", frozenset({"n"}), 0.5).sends, 0)
         self.assertEqual(share_of("t", frozenset(), 21.5).owners, frozenset())
 
 
-class TestColdSends(unittest.TestCase):
-    def test_within_any_second_no_more_than_its_part(self) -> None:
+class TestColdTargets(unittest.TestCase):
+    def test_sends_within_any_second_are_limited(self) -> None:
         sends, sent = ColdTargets(), deque[float]()
         sends.report("t", 100.0, 0.0)
         now = 0.0
@@ -66,7 +66,7 @@
             self.assertLessEqual(sum(first <= at < first + 1.0 for at in sent), 4)
         self.assertGreater(len(sent), 0.9 * 4 * 20)
 
-    def test_cold_until_it_says_otherwise(self) -> None:
+    def test_a_target_is_cold_until_it_reports_otherwise(self) -> None:
         sends = ColdTargets()
         sends.report("t", 3.0, 10.0)
         self.assertTrue(sends.is_cold("t", 12.9))
@@ -74,13 +74,13 @@
         sends.report("t", 0.0, 11.0)
         self.assertFalse(sends.is_cold("t", 11.0))
 
-    def test_what_is_presumed_outlasts_an_entry_of_before(self) -> None:
+    def test_an_assumption_outlasts_an_earlier_entry(self) -> None:
         sends = ColdTargets()
         sends.assume("t", 3.0, 10.0)
         sends.report("t", 0.0, 10.5)
         self.assertTrue(sends.is_cold("t", 12.0))
 
-    def test_what_is_over_or_gone_is_forgotten(self) -> None:
+    def test_warm_and_unlisted_targets_are_removed(self) -> None:
         sends = ColdTargets()
         for name in ("over", "gone", "cold"):
             sends.report(name, 1.0 if name == "over" else 9.0, 0.0)
@@ -91,13 +91,13 @@
 
 
 class Site:
-    """Nodes of one data centre before cold targets; time and datagrams are the test's.
+    """Nodes of one data centre that send to cold targets, with simulated time and datagrams.
 
-    Each node sends whenever it may: the most that any load brings about.
+    Each node sends whenever it may, which is the maximum under any load.
     """
 
     window = 1.0
-    """Seconds within which what a target gets is counted."""
+    """Seconds within which the sends to a target are counted."""
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
@@ -111,10 +111,10 @@
         self.shares: dict[int, ColdShare] = {}
         self.arrivals = {name: deque[float]() for name in TARGETS}
         self.worst = 0
-        """The most that a target got within a window."""
+        """The most sends to a target within a window."""
         self.total = 0
         self.boots = 0
-        self._told_at: dict[int, float] = {}
+        self._heartbeat_at: dict[int, float] = {}
         for number in range(NODES):
             self.start(number)
 
@@ -137,12 +137,12 @@
         while self.now < until:
             self.now += _STEP_SECONDS
             for number in self.nodes.keys() - self.frozen:
-                self._tell(number)
+                self._send_heartbeat(number)
             for number in sorted(self.nodes.keys() - self.frozen):
                 self._send(number)
 
     def walk(self, steps: list[tuple[str, int, float]]) -> None:
-        """Take `steps`, each of which names a node and how long it lasts."""
+        """Take `steps`, each with its kind, a node and a duration in seconds."""
         self.run(4.0)
         for kind, number, seconds in steps:
             if kind == "cut":
@@ -159,13 +159,13 @@
                 self.lost = 0.3 if kind == "lose" else 0.0
             self.run(seconds)
 
-    def _tell(self, number: int) -> None:
-        if self.now - self._told_at.get(number, 0.0) < _HEARTBEAT_SECONDS:
+    def _send_heartbeat(self, number: int) -> None:
+        if self.now - self._heartbeat_at.get(number, 0.0) < _HEARTBEAT_SECONDS:
             return
-        self._told_at[number] = self.now
-        teller = self.nodes[number]
-        active = teller.is_active(self.now)
-        heartbeat = Heartbeat(teller.me, True, False, 1, {}, {}, active=active, load=40.0)
+        self._heartbeat_at[number] = self.now
+        sender = self.nodes[number]
+        active = sender.is_active(self.now)
+        heartbeat = Heartbeat(sender.me, True, False, 1, {}, {}, active=active, load=40.0)
         for other in self.nodes.keys() - self.frozen - {number}:
             if not {number, other} & self.cut and self.rng.random() >= self.lost:
                 self.nodes[other].receive(heartbeat, self.now)
@@ -176,7 +176,7 @@
             return
         nodes = self.nodes[number].recently_active(self.now)
         for target in TARGETS:
-            sends = self.shares[number].max_sends(target, nodes, BOUND, self.now)
+            sends = self.shares[number].sends(target, nodes, BOUND, self.now)
             while self.sends[number].may_send(target, sends, self.now):
                 self.sends[number].sent(target, self.now)
                 self._arrive(target)
@@ -202,7 +202,7 @@
 
 
 class TestWalk(unittest.TestCase):
-    """Nodes start, freeze, are cut off and lose datagrams, and all send as much as they may."""
+    """Nodes start, freeze, are partitioned and lose datagrams, and all send as much as they may."""
 
     @settings(
         max_examples=25, deadline=None, derandomize=True, phases=[Phase.explicit, Phase.generate]
@@ -215,7 +215,7 @@
         site.walk(steps)
         self.assertLessEqual(site.worst, BOUND)
 
-    def test_each_cut_off_by_itself_takes_no_more_than_its_part(self) -> None:
+    def test_isolated_nodes_use_no_more_than_their_shares(self) -> None:
         site = Site(1)
         site.run(4.0)
         site.cut = set(range(NODES))
@@ -225,7 +225,7 @@
 
 
 class ColdFleet(FleetCase):
-    """One engine that has long been warm, and one that comes back cold."""
+    """One engine that has long been warm, and one that starts cold."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -247,9 +247,9 @@
 
 
 class TestColdFleet(ColdFleet):
-    """A crowd finds an idle engine that has just started: all of it went there at once."""
+    """Many requests find an engine idle that has just started, and all went there at once."""
 
-    async def test_an_engine_that_has_just_started_gets_its_part_only(self) -> None:
+    async def test_an_engine_that_has_just_started_gets_a_limited_rate(self) -> None:
         views = self.node.node.views
         await eventually(lambda: views.age(asyncio.get_running_loop().time()) > 2.0)
         now = asyncio.get_running_loop().time()
@@ -260,12 +260,12 @@
         await self.cold("cold")
         self.assertEqual(set(await self.ask_many(30)), {200})
         self.assertGreater(asyncio.get_running_loop().time(), now)
-        # One node, and room for one more that it does not know of: half of eight.
+        # One owner, and room for one more that it does not know: half of eight.
         for first in cold.ran:
             self.assertLessEqual(sum(first.at <= r.at < first.at + 1.0 for r in cold.ran), 4)
         self.assertGreaterEqual(len(cold.ran), 4)
 
-    async def test_a_node_that_has_just_started_sends_cold_targets_nothing(self) -> None:
+    async def test_a_node_that_has_just_started_does_not_send_to_cold_targets(self) -> None:
         self.fleet.enter("warm", "engines", cold_seconds=30.0)
         late = await self.fleet.node("node-2", bounds=self.node.settings.bounds)
         now = asyncio.get_running_loop().time()
@@ -274,7 +274,7 @@
         self.assertEqual(answer.status, 503)
         self.assertEqual(self.warm.ran, [])
 
-    async def test_engines_of_a_data_centre_that_is_back_are_taken_for_cold(self) -> None:
+    async def test_engines_of_a_returned_data_centre_are_assumed_to_be_cold(self) -> None:
         self.fleet.evacuate("a")
         registry = self.node.node.views.registry
         await eventually(lambda: registry.evacuated == {"a"})
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A node that was told to stop takes late requests only where it can end them."""
+"""A stopping node accepts late requests only if they complete before it stops."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .platform_fleet import BOUNDS, FleetCase, ask, prompt
 
 LATE = 0.1
-"""Seconds after the signal from which requests count as late, for a short test."""
+"""Seconds after the signal from which requests are late, reduced for a short test."""
 
 
 class TestLeaving(FleetCase):
@@ -25,7 +25,7 @@
         self.plain = await self.fleet.worker(Worker(name="w1"), "plain")
         self.node = await self.fleet.node()
 
-    async def test_a_late_stream_that_may_be_cut_is_sent_elsewhere_at_once(self) -> None:
+    async def test_a_late_stream_that_may_be_cut_is_refused_at_once(self) -> None:
         self.engine.events, self.engine.pause_seconds = 60, 0.1
         self.node.stopping.set()
         await asyncio.sleep(2 * LATE)
@@ -34,14 +34,14 @@
         self.assertLess(float(answer.headers["retry-after"]), BOUNDS.grace)
         self.assertEqual(self.engine.ran, [])
 
-    async def test_a_late_stream_that_surely_ends_is_served(self) -> None:
+    async def test_a_late_stream_that_certainly_completes_is_served(self) -> None:
         self.node.stopping.set()
         await asyncio.sleep(2 * LATE)
         answer = await ask(self.node, "/chat/x", **prompt(X_Token_Usage="350,1"))
         self.assertEqual((answer.status, answer.headers.get("whole")), (200, "yes"))
 
-    async def test_a_late_plain_request_is_taken_by_the_time_it_may_last(self) -> None:
-        # Long enough for a pause of this process, which plays all sides, to cost no answer.
+    async def test_a_late_plain_request_is_accepted_according_to_its_deadline(self) -> None:
+        # Long enough that a pause of this process, which runs all sides, fails no request.
         node = await self.fleet.node("node-2", bounds=BOUNDS._replace(grace=4.0))
         node.stopping.set()
         await asyncio.sleep(2 * LATE)
@@ -51,7 +51,7 @@
 
 
 class LeavingTest(FleetCase):
-    async def test_what_comes_soon_is_taken_whatever_it_needs(self) -> None:
+    async def test_early_requests_are_accepted_whatever_their_duration(self) -> None:
         stop = DrainWindow(started_at=100.0, closes_at=107.1)
         self.assertTrue(stop.accepts(102.4, 30.0))
         self.assertFalse(stop.accepts(103.4, max_response_seconds(latency_goal=0.3, tokens=159)))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who lives: probes, denials, leaving targets; driven by hand, without clocks."""
+"""Failure detection, refutation and leaving targets, driven step by step without clocks."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
     one.merge(*two.next_updates(), now)
 
 
-def rounds_until(views: list[Membership], done: object, most: int = 200) -> int:
-    """Let all probe once a round until `done` holds of every view; return the rounds."""
+def rounds_until(views: list[Membership], done: object, limit: int = 200) -> int:
+    """Probe once per node and round until `done` holds for every view; return the rounds."""
     by_name = {view.me.name: view for view in views}
-    for number in range(most):
+    for number in range(limit):
         if all(done(view) for view in views):  # type: ignore[operator]
             return number
         for view in views:
             probed = view.next_probe()
             if probed is not None and probed.name in by_name:
                 exchange(view, by_name[probed.name], float(number))
-    raise AssertionError(f"not within {most} rounds")
+    raise AssertionError(f"not within {limit} rounds")
 
 
 class MembershipTest(unittest.TestCase):
@@ -53,7 +53,7 @@
         self.assertEqual(view.expire(10.0 + SUSPICION_TIMEOUT_SECONDS - 0.1), [])
         self.assertEqual([m.name for m in view.expire(10.0 + SUSPICION_TIMEOUT_SECONDS)], ["p1"])
 
-    def test_a_living_member_denies_its_suspicion(self) -> None:
+    def test_a_live_member_refutes_its_suspicion(self) -> None:
         views = fleet(3)
         views[0].record_probe_failure("p1", 0.0)
         exchange(views[0], views[1], 0.1)
@@ -61,7 +61,7 @@
         self.assertIn("p1", [m.name for m in views[0].usable()])
         self.assertEqual(views[1].me.incarnation, 2)
 
-    def test_a_returned_member_denies_its_own_death(self) -> None:
+    def test_a_returned_member_refutes_its_death(self) -> None:
         views = fleet(2)
         dead = views[1].me._replace(status=Status.DEAD)
         views[0].merge([dead], (), 0.0)
@@ -69,31 +69,31 @@
         exchange(views[1], views[0], 0.1)
         self.assertIn("p1", [m.name for m in views[0].usable()])
 
-    def test_leaving_is_not_denied(self) -> None:
+    def test_leaving_is_not_refuted(self) -> None:
         view = fleet(2)[0]
         view.merge([view.me._replace(status=Status.LEAVING)], (), 0.0)
         self.assertIs(view.me.status, Status.LEAVING)
         self.assertEqual(view.me.incarnation, 1)
 
-    def test_a_word_on_a_target_reaches_all_in_few_rounds(self) -> None:
+    def test_an_update_about_a_target_reaches_all_in_few_rounds(self) -> None:
         views = fleet(64)
         views[0].merge_target(TargetWord("t", 1, True))
         rounds = rounds_until(views, lambda view: view.target_word("t") is not None)
         self.assertLessEqual(rounds, 10)
 
-    def test_leaving_holds_for_the_epoch_and_ends_with_the_next(self) -> None:
+    def test_leaving_lasts_for_the_epoch_and_ends_with_the_next(self) -> None:
         view = fleet(1)[0]
         view.merge_target(TargetWord("t", 5, True))
         self.assertFalse(view.merge_target(TargetWord("t", 5, False)))
         self.assertFalse(view.merge_target(TargetWord("t", 4, False)))
         self.assertTrue(view.merge_target(TargetWord("t", 6, False)))
 
-    def test_a_message_stays_small_however_many_members_there_are(self) -> None:
+    def test_the_message_size_is_bounded_for_any_number_of_members(self) -> None:
         view = fleet(400)[0]
         members, words = view.next_updates()
         self.assertLessEqual(len(members) + len(words), MAX_UPDATES_PER_MESSAGE)
 
-    def test_entry_names_the_nearest_first_and_none_that_is_suspected(self) -> None:
+    def test_entry_returns_near_members_first_and_no_suspected_one(self) -> None:
         view = fleet(6)[0]
         view.record_probe_failure("p2", 0.0)
         answer = order(view.usable(), data_centre="dc-b", model="m")
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Who reads for others, who is known to live, and who takes callers' requests."""
+"""Selection of readers, detection of live nodes, and selection of the active nodes."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
     return Heartbeat(node, ready, leaving, 1, {}, {})
 
 
-def own_reading(*, targets: float, operators: float) -> ReadState:
-    """Return what a node tells of its readings, made so many seconds ago."""
+def own_read_state(*, targets: float, operators: float) -> ReadState:
+    """Return the read state of a node whose last reads were so many seconds ago."""
     views = Views()
     views.targets_read_at, views.operators_read_at = -targets, -operators
     return views.read_state(0.0)
 
 
-class TestLives(unittest.TestCase):
-    """A node that started again while its clock was behind its former life was never heard.
+class TestInstances(unittest.TestCase):
+    """Heartbeats of a restarted node are accepted even if its instance number is lower.
 
-    A host's time of day jumped ahead by two seconds, its node started, the clock went
-    back and the node was killed and started anew: the new life's number, taken from the
-    time of day, was lower than the former one's.  Neighbours dropped each of its
-    heartbeats as late ones of a former life; `known` showed it silent for good.
+    Instance numbers are taken from the time of day.  A node started while its host's clock was
+    two seconds ahead, the clock was set back, and the node restarted with a lower number.  Its
+    neighbours took each heartbeat for a delayed one of a former instance and ignored it, so
+    `known_nodes` reported the node as silent for ever.
     """
 
-    def test_a_lower_life_is_taken_once_the_higher_one_is_silent(self) -> None:
+    def test_a_lower_instance_is_accepted_once_the_higher_one_is_silent(self) -> None:
         neighbours = Neighbours(me=neighbour("me"))
         neighbours.receive(heartbeat(neighbour("n1", boot=9)), 0.0)
         self.assertFalse(neighbours.receive(heartbeat(neighbour("n1", boot=7)), 0.5))
@@ -49,8 +49,8 @@
         self.assertEqual(neighbours.node("n1"), neighbour("n1", boot=7))
         self.assertEqual([node.boot for node in neighbours.alive(2.6)], [7])
 
-    def test_what_a_former_life_tells_is_not_taken(self) -> None:
-        # Its sends and leaving targets would stand beside those of the new life.
+    def test_heartbeats_of_a_former_instance_are_ignored(self) -> None:
+        # Otherwise its sends and leaving targets would be added to those of the new instance.
         me = neighbour("me")
         neighbours = Neighbours(me=me)
         neighbours.receive(heartbeat(neighbour("n1", boot=9)), 0.0)
@@ -61,7 +61,7 @@
 
 
 class TestReaders(unittest.TestCase):
-    def test_one_reads_for_all_and_when_it_grows_old_each_reads(self) -> None:
+    def test_one_node_reads_for_all_and_each_reads_itself_when_it_is_stale(self) -> None:
         names = ["n1", "n2", "n3"]
         fresh = {name: ReadState(age=0.1) for name in names}
         readers = set()
@@ -75,7 +75,7 @@
             others = {n: r for n, r in old.items() if n != name}
             self.assertEqual(source(name, "platform", others, active=names).name, "", reader)
 
-    def test_where_the_reader_is_cut_off_the_next_one_reads_for_the_others(self) -> None:
+    def test_the_next_reader_replaces_one_that_is_partitioned(self) -> None:
         names = ["n1", "n2", "n3", "n4"]
         active = names[:3]
         order = rank("platform", [(name, 1.0) for name in active])
@@ -86,23 +86,23 @@
             found[name] = source(name, "platform", others, active=active).name
         self.assertEqual(found, {order[0]: "", order[1]: "", order[2]: order[1], "n4": order[1]})
 
-    def test_a_reader_whose_operators_rows_grow_old_is_not_relied_on(self) -> None:
+    def test_a_reader_with_stale_operators_rows_is_not_used(self) -> None:
         names = ["n1", "n2", "n3"]
         first, second, third = rank("platform", [(name, 1.0) for name in names])
-        fresh = {first: own_reading(targets=0.1, operators=1.7), second: ReadState(age=0.1)}
+        fresh = {first: own_read_state(targets=0.1, operators=1.7), second: ReadState(age=0.1)}
         self.assertEqual(source(third, "platform", fresh, active=names).name, first)
-        # Its view of the targets is fresh, the call for the other rows hangs.
-        hung = {first: own_reading(targets=0.1, operators=2.3), second: ReadState(age=0.1)}
+        # Its view of the targets is fresh, but its call for the operators' rows hangs.
+        hung = {first: own_read_state(targets=0.1, operators=2.3), second: ReadState(age=0.1)}
         self.assertEqual(source(third, "platform", hung, active=names).name, second)
         hung = {n: reading._replace(age=reading.age + 2.3) for n, reading in fresh.items()}
         self.assertEqual(source(third, "platform", hung, active=names).name, "")
 
-    def test_a_node_that_stands_by_never_reads_for_others_and_waits_longer(self) -> None:
+    def test_a_standby_node_never_reads_for_others_and_waits_longer(self) -> None:
         late = {"n1": ReadState(age=1.5), "n2": ReadState(age=1.6)}
         self.assertEqual(source("n3", "k", late, active=["n1", "n2"]).name, "n1")
         lost = {"n1": ReadState(age=2.5), "n2": ReadState(age=2.6)}
         self.assertEqual(source("n3", "k", lost, active=["n1", "n2"]).name, "")
-        # Where more time is given, readings are further apart.
+        # With a higher bound, reads are further apart.
         self.assertEqual(source("n3", "k", lost, active=["n1", "n2"], bound=4.0).name, "n1")
         lost = {name: ReadState(age=3.1) for name in ("n1", "n2")}
         self.assertEqual(source("n3", "k", lost, active=["n1", "n2"], bound=4.0).name, "")
@@ -115,7 +115,9 @@
         found = source("n1", "platform", readings, active=sizes, capacity=sizes.__getitem__)
         self.assertEqual(found.name, "n3")
 
-    def test_each_store_is_copied_from_whoever_hears_it_while_a_new_listener_does_not(self) -> None:
+    def test_each_store_is_copied_from_a_node_with_a_recent_position_if_the_listener_has_none(
+        self,
+    ) -> None:
         marks = {
             "listener": {"s1": StorePosition(1, 5, 0.1)},
             "n2": {
@@ -129,14 +131,14 @@
         self.assertEqual(found, {"s1": "listener", "s2": "n3"})
 
 
-class TestStandIn(unittest.TestCase):
-    """All active nodes of a data centre end at once: when do those that stand by read?"""
+class TestFailover(unittest.TestCase):
+    """All active nodes of a data centre fail at once; standby nodes start to read in time."""
 
     STEP = 0.05
     END = 5.0
 
     def _seconds(self, near: int, far: int) -> float:
-        """Return how long nobody that is left in the data centre reads for itself."""
+        """Return the seconds until a remaining node of the data centre reads for itself."""
         everyone = [neighbour(f"n{n:02}") for n in range(near)]
         everyone += [neighbour(f"f{n:02}", "b") for n in range(far)]
         views = {node.name: Neighbours(me=node) for node in everyone}
@@ -156,22 +158,24 @@
                     read[name] = now
                     if ended and name.startswith("n"):
                         return now - self.END
-                self._tell(views, name, now - read.get(name, float("-inf")), now)
+                self._send_heartbeats(views, name, now - read.get(name, float("-inf")), now)
         raise AssertionError("not reached")
 
-    def _tell(self, views: dict[str, Neighbours], name: str, age: float, now: float) -> None:
+    def _send_heartbeats(
+        self, views: dict[str, Neighbours], name: str, age: float, now: float
+    ) -> None:
         view = views[name]
         for node in view.due(now):
-            told = heartbeat(view.me)._replace(
+            sent = heartbeat(view.me)._replace(
                 reading=ReadState(age=age),
                 active=view.is_active(now),
                 period=view.period(view.relation(node, now), now),
             )
-            views[node.name].receive(told, now)
+            views[node.name].receive(sent, now)
 
-    def test_those_that_stand_by_read_in_time_for_a_new_catalog(self) -> None:
-        # A look each 0.3 s, a call and a copy come after it: a catalog is in force 2 s after
-        # it was acknowledged, 3 s in large deployments, whose heartbeats are further apart.
+    def test_standby_nodes_read_in_time_for_a_new_catalog(self) -> None:
+        # A check every 0.3 s, a call and a copy follow.  A catalog must be in force 2 s after its
+        # acknowledgement, and 3 s in large deployments, where heartbeats are further apart.
         for near, far, seconds in ((4, 0, 1.5), (9, 9, 1.5), (31, 10, 2.5)):
             self.assertLessEqual(self._seconds(near, far), seconds, (near, far))
 
@@ -183,14 +187,14 @@
     def _addresses(self, now: float, data_centre: str = "a") -> list[str]:
         return self.view.addresses(data_centre, now)
 
-    def test_a_silent_node_leaves_the_answers_and_a_heard_one_returns(self) -> None:
+    def test_a_silent_node_is_removed_from_the_addresses_and_returns_with_a_heartbeat(self) -> None:
         self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.assertEqual(self._addresses(0.5), ["n1:80"])
         self.assertEqual(self._addresses(2.0), [])
         self.view.receive(heartbeat(neighbour("n1")), 2.0)
         self.assertEqual(len(self._addresses(2.1)), 1)
 
-    def test_a_leaving_node_leaves_the_answers_at_once(self) -> None:
+    def test_a_leaving_node_is_removed_from_the_addresses_at_once(self) -> None:
         self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.assertEqual(len(self._addresses(0.01)), 1)
         self.view.receive(heartbeat(neighbour("n1"), leaving=True), 0.02)
@@ -200,7 +204,7 @@
         self.view.update_self(serving=False, load=0.0)
         self.assertEqual(self._addresses(0.05), [])
 
-    def test_a_beat_of_an_earlier_life_is_ignored(self) -> None:
+    def test_a_heartbeat_of_a_former_instance_is_ignored(self) -> None:
         self.view.receive(heartbeat(neighbour("n1", boot=2)), 0.0)
         self.view.receive(heartbeat(neighbour("n1", boot=1), leaving=True), 0.1)
         self.assertEqual(len(self._addresses(0.2)), 1)
@@ -211,7 +215,7 @@
         self.assertEqual(self._addresses(0.1, "b"), ["n2:80"])
         self.assertEqual(self._addresses(0.1, "c"), ["n1:80", "n2:80"])
 
-    def test_heartbeats_a_second_do_not_grow_without_bound(self) -> None:
+    def test_the_heartbeat_rate_is_bounded(self) -> None:
         for number in range(200):
             many = heartbeat(neighbour(f"n{number}"))._replace(period=3.0)
             self.view.receive(many, 0.0)
@@ -219,34 +223,34 @@
         sent = sum(len(self.view.due(tick / 20)) for tick in range(1, 41))
         self.assertLessEqual(sent, 150)
 
-    def _sent_to_silent_ones(self, began: float, seconds: int) -> int:
+    def _sent_to_silent_nodes(self, began: float, seconds: int) -> int:
         return sum(len(self.view.due(began + tick)) for tick in range(0, seconds, 5))
 
-    def test_a_node_that_is_never_heard_or_silent_for_minutes_is_forgotten(self) -> None:
+    def test_a_node_that_is_silent_for_minutes_is_removed(self) -> None:
         self.view.add(neighbour("n1"))
         self.view.receive(heartbeat(neighbour("n2")), 0.0)
-        self.assertGreater(self._sent_to_silent_ones(20.0, 60), 20)
+        self.assertGreater(self._sent_to_silent_nodes(20.0, 60), 20)
         self.assertEqual(len(self.view.known_nodes(100.0)), 2)
-        self._sent_to_silent_ones(100.0, 900)
+        self._sent_to_silent_nodes(100.0, 900)
         self.assertEqual(self.view.known_nodes(1000.0), [])
-        self.assertEqual(self._sent_to_silent_ones(1000.0, 60), 0)
+        self.assertEqual(self._sent_to_silent_nodes(1000.0, 60), 0)
         self.view.add(neighbour("n1"))
         self.assertTrue(self.view.receive(heartbeat(neighbour("n2")), 1100.0))
         self.assertEqual(len(self.view.due(1100.0)), 2)
 
-    def test_a_process_that_was_paused_for_long_forgets_nobody(self) -> None:
+    def test_a_process_that_was_paused_for_long_removes_no_node(self) -> None:
         self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.view.due(0.1)
         self.assertEqual(len(self.view.due(7200.0)), 1)
         self.assertEqual(len(self.view.known_nodes(7200.1)), 1)
 
-    def test_a_node_that_answers_now_and_then_is_not_forgotten(self) -> None:
+    def test_a_node_that_answers_occasionally_is_not_removed(self) -> None:
         for minute in range(60):
             self.view.receive(heartbeat(neighbour("n1")), minute * 60.0)
-            self._sent_to_silent_ones(minute * 60.0, 60)
+            self._sent_to_silent_nodes(minute * 60.0, 60)
         self.assertEqual(len(self.view.known_nodes(3600.0)), 1)
 
-    def test_the_first_of_the_active_nodes_does_what_one_does_for_all(self) -> None:
+    def test_the_first_active_node_is_the_coordinator(self) -> None:
         self.view.update_self(serving=True, load=0.0)
         self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.assertTrue(self.view.is_coordinator(0.1))
@@ -255,7 +259,7 @@
         self.view.update_self(serving=False, load=0.0)
         self.assertFalse(self.view.is_coordinator(9.0))
 
-    def test_a_longer_period_is_told_at_once(self) -> None:
+    def test_a_longer_period_is_announced_at_once(self) -> None:
         self.view.update_self(serving=True, load=0.0)
         self.view.receive(heartbeat(neighbour("n1")), 0.0)
         self.assertEqual(len(self.view.due(0.0)), 1)
@@ -265,12 +269,12 @@
 
 
 class TestActive(unittest.TestCase):
-    """Which hosts are active, and what a host that stands by believes."""
+    """Selection of the active hosts, and the view of a standby host."""
 
     HOSTS: ClassVar = [Candidate(f"small-{n}", 40.0) for n in range(20)]
     LARGE: ClassVar = [Candidate(f"large-{n}", 500.0) for n in range(2)]
 
-    def test_large_hosts_come_first_and_three_at_least(self) -> None:
+    def test_large_hosts_come_first_and_at_least_three_are_active(self) -> None:
         chosen = active_names([*self.HOSTS, *self.LARGE])
         self.assertTrue({"large-0", "large-1"} <= chosen)
         self.assertEqual(len(chosen), 4)
@@ -297,7 +301,7 @@
             view.receive(heartbeat(neighbour(name))._replace(period=0.25), 0.0)
         return view
 
-    def test_a_host_that_stands_by_takes_the_place_of_one_that_fell_silent(self) -> None:
+    def test_a_standby_host_replaces_a_silent_one(self) -> None:
         names = [f"n{number}" for number in range(1, 9)]
         view = self._view(names)
         chosen = view.active(0.1)
@@ -311,20 +315,20 @@
         self.assertEqual(len(after), 3)
         self.assertTrue(chosen - {silent} <= after)
 
-    def test_what_all_may_do_is_shared_out_with_room_for_those_that_step_in(self) -> None:
+    def test_a_limit_is_divided_among_active_nodes_and_their_replacements(self) -> None:
         view = self._view([f"n{number}" for number in range(1, 9)])
         self.assertEqual(view.sharing(0.1), 6)
         self.assertEqual(self._view(["n1"]).sharing(0.1), 2)
         self.assertEqual(self._view([]).sharing(0.1), 1)
 
-    def test_nodes_that_stand_by_beat_seldom_and_say_so(self) -> None:
+    def test_standby_nodes_use_long_heartbeat_periods(self) -> None:
         view = self._view([f"n{number}" for number in range(1, 30)])
         both = view.period(Relation(near=True, self_active=True, peer_active=True), 0.1)
         none = view.period(Relation(near=True, self_active=False, peer_active=False), 0.1)
         self.assertLess(both, 0.2)
         self.assertGreaterEqual(none, 3.0)
 
-    def test_a_peak_counts_for_some_seconds(self) -> None:
+    def test_a_peak_rate_lasts_for_some_seconds(self) -> None:
         rate = PeakRate()
         for _ in range(7):
             rate.add(100.2)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -1,9 +1,9 @@
-"""What crosses between data centres, and who reads from the platform, at any size.
+"""Traffic between data centres, and reads from the platform, for any number of nodes.
 
-Load: five data centres, up to 400 nodes.  Each active node told each other one far away
-what it sends, three times a second, and each data centre read from the platform for itself:
-on a day of 19 nodes 18 MB and 908 calls, a fifth of what its answers were worth; since then
-7 MB and 271 calls (single plays of the same day).
+Load: five data centres with up to 400 nodes.  Without relays, each active node sent its state
+to each active node of the other data centres three times per second, and each data centre read
+from the platform itself.  On a day of 19 nodes that cost 18 MB and 908 calls, a fifth
+of the value of the answers; with relays it is 7 MB and 271 calls (one run of the same day each).
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Sent:
-    """Heartbeats that crossed between data centres, and nodes that read from the platform."""
+    """Counts of heartbeats between data centres, and of reads from the platform by node."""
 
     def __init__(self) -> None:
         self.far = 0
@@ -45,7 +45,7 @@
 
 
 class Node:
-    """What a node knows of the others, and how old what it has read is."""
+    """A node's view of the others, and the time of its last read."""
 
     def __init__(self, name: str, centre: str) -> None:
         self.me = Neighbour(name, 1, centre, f"{name}:1", f"{name}:2", f"{name}:3", 40.0)
@@ -55,7 +55,7 @@
         self.next_read = 0.0
 
     def source(self, now: float) -> str:
-        """Return whom this node relies on, empty for the platform."""
+        """Return the node from which this node copies, empty for the platform."""
         view = self.neighbours
         near = view.read_states(now)
         active = view.active(now)
@@ -65,7 +65,7 @@
         return remote_source(self.me.name, view.remote_read_states(now), bound=_BOUND).name
 
     def read(self, now: float, sent: Sent) -> None:
-        """Take rows from whoever this node relies on."""
+        """Copy the rows from the source of this node, or read them from the platform."""
         found = self.source(now)
         if found:
             remote = self.neighbours.remote_read_states(now).get(found)
@@ -76,7 +76,7 @@
             sent.readers[self.me.name] += 1
 
     def heartbeat(self, node: Neighbour, now: float) -> Heartbeat:
-        """Return what this node tells `node`."""
+        """Return the heartbeat of this node to `node`."""
         view = self.neighbours
         period = view.period(view.relation(node, now), now)
         return Heartbeat(
@@ -88,7 +88,7 @@
 
 
 class Network:
-    """Nodes in several data centres that hear each other at once."""
+    """Nodes in several data centres, with heartbeats delivered at once."""
 
     def __init__(self, size: int) -> None:
         names = [(f"n{number:03}", f"dc{number % _CENTRES}") for number in range(size)]
@@ -100,7 +100,7 @@
         self.now = 0.0
 
     def run(self, seconds: float, watch: Callable[[], None] = lambda: None) -> Sent:
-        """Let heartbeats go for some time."""
+        """Send heartbeats for some time."""
         sent, until = Sent(), self.now + seconds
         while self.now < until:
             for name, node in self.nodes.items():
@@ -108,12 +108,12 @@
                     node.neighbours.update_self(serving=True, load=1.0)
                     node.read(self.now, sent)
                     for other in node.neighbours.due(self.now):
-                        self._tell(node, other, sent)
+                        self._deliver(node, other, sent)
             watch()
             self.now += _STEP
         return sent
 
-    def _tell(self, node: Node, other: Neighbour, sent: Sent) -> None:
+    def _deliver(self, node: Node, other: Neighbour, sent: Sent) -> None:
         if other.name in self.ended:
             return
         heartbeat = node.heartbeat(other, self.now)
@@ -126,7 +126,7 @@
                     self.nodes[near.name].neighbours.receive(heartbeat, self.now)
 
     def oldest(self) -> float:
-        """Return the age of what the oldest reader that others rely on has."""
+        """Return the age of the rows of the stalest source in use."""
         ages = []
         for name, node in self.nodes.items():
             if name not in self.ended:
@@ -139,22 +139,23 @@
 
 
 class TestSizes(unittest.TestCase):
-    def test_neither_remote_heartbeats_nor_readings_grow_with_the_nodes(self) -> None:
+    def test_remote_heartbeats_and_reads_do_not_grow_with_the_number_of_nodes(self) -> None:
         found = {}
         for size in (20, 100):
             network = Network(size)
             network.run(4.0)
             sent = network.run(2.0)
             found[size] = (sent.far, sum(sent.readers.values()), len(sent.readers))
-        # Of twenty pairs of data centres each has a first relay's 3.3 to 4 a second, and three
-        # rarer ones.  Were all active nodes of 20 to tell each other, it would be 1066 a second.
+        # Each of the twenty ordered pairs of data centres has 3.3 to 4 heartbeats per second
+        # between the primary relays, and three less frequent ones.  Heartbeats between all
+        # active nodes would be 1066 per second with 20 nodes.
         for size, (far, readings, readers) in found.items():
             with self.subTest(size=size):
                 self.assertLessEqual(far / 2.0, 20 * 10)
                 self.assertEqual(readers, 1)
                 self.assertLessEqual(readings / 2.0, 1.2 / read_interval_seconds(_BOUND))
 
-    def test_where_the_reader_ends_another_one_reads_before_half_of_the_time_is_over(self) -> None:
+    def test_another_node_replaces_a_failed_reader_within_half_of_the_bound(self) -> None:
         network = Network(20)
         network.run(3.0)
         sent = network.run(1.0)
@@ -165,7 +166,7 @@
         self.assertLessEqual(max(ages), _BOUND / 2 + 2 * _STEP)
         self.assertEqual(len(network.run(2.0).readers), 1)
 
-    def test_a_data_centre_that_loses_the_others_reads_for_itself(self) -> None:
+    def test_a_partitioned_data_centre_reads_for_itself(self) -> None:
         network = Network(20)
         network.run(3.0)
         network.ended = {n for n, node in network.nodes.items() if node.me.data_centre != "dc1"}
@@ -174,7 +175,7 @@
         self.assertLessEqual(max(ages), _BOUND / 2 + 2 * _STEP)
         self.assertLessEqual(len(sent.readers), 2)
 
-    def test_what_all_may_do_is_shared_out_among_all_data_centres(self) -> None:
+    def test_a_limit_is_divided_among_all_data_centres(self) -> None:
         network = Network(60)
         network.run(3.0)
         node = network.nodes["n000"].neighbours
@@ -187,11 +188,11 @@
 class TestContacts(unittest.TestCase):
     HEARD: ClassVar = {"b": [RemoteNode("b1", 10.0, True), RemoteNode("b2", 900.0, True)]}
 
-    def test_first_relays_talk_often_and_successors_seldom(self) -> None:
+    def test_primary_relays_send_often_and_standby_relays_infrequently(self) -> None:
         self.assertEqual(contacts(0, self.HEARD), [Contact("b2", False), Contact("b1", True)])
         self.assertEqual(contacts(1, self.HEARD), [Contact("b2", True), Contact("b1", True)])
 
-    def test_where_nobody_is_heard_some_are_greeted_in_turn(self) -> None:
+    def test_known_nodes_of_a_data_centre_without_live_ones_are_probed_in_turn(self) -> None:
         silent = [RemoteNode(f"b{n}", 1.0, False, unanswered=n % 2) for n in range(9)]
         found = contacts(0, {"b": silent})
         self.assertEqual([contact.name for contact in found], ["b0", "b2", "b4"])
@@ -210,7 +211,7 @@
                 self.assertNotEqual(relies[other], name)
         self.assertIn("", relies.values())
 
-    def test_an_old_reader_is_not_relied_on_and_any_fresh_one_is_by_who_is_turned_away(
+    def test_a_stale_reader_is_not_used_and_a_failing_node_uses_any_fresh_one(
         self,
     ) -> None:
         old = {"a": ReadState(age=1.0), "b": ReadState(age=1.1)}
@@ -218,8 +219,8 @@
         self.assertEqual(remote_source("me", old, bound=2 * _BOUND, failing=True).name, "a")
 
 
-class TestToldRemotely(unittest.TestCase):
-    """A relay tells other data centres what its own sends, and both relays' words count once."""
+class TestRemoteHeartbeats(unittest.TestCase):
+    """Relays send the sums of their data centre, and those of both relays count once."""
 
     def setUp(self) -> None:
         self.loop = VirtualLoop()
@@ -252,16 +253,16 @@
         self.assertEqual(far._neighbours.sharing(now), 3)
         self.assertGreater(views.loading.seconds("engine", now), 0.9)
 
-    def test_sums_of_a_data_centre_are_told(self) -> None:
+    def test_relays_send_the_sums_of_their_data_centre(self) -> None:
         self.loop.run_until_complete(self._exchange())
 
-    def test_what_came_from_elsewhere_is_not_told_on(self) -> None:
+    def test_state_of_other_data_centres_is_not_forwarded_to_others(self) -> None:
         loading = LoadingEngines()
         loading.record_reported("engine", 5.0, remote=True)
         self.assertEqual(loading.in_data_centre(1.0), {})
         self.assertEqual(loading.seconds("engine", 1.0), 4.0)
 
-    def test_a_data_centre_s_burdens_hold_only_the_nodes_nearby(self) -> None:
+    def test_the_sums_of_a_data_centre_include_only_its_own_nodes(self) -> None:
         workload = Workload()
         workload.begin("e", "r", 0, 5)
         workload.update_node("near", {"e": Burden(1, 0, 7)}, 0.0)
