--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -36,7 +36,7 @@
 
     def __init__(self, number: int, boot: int) -> None:
         self.name = f"node-{number}-{boot}"
-        self.book = AttemptRegistry()
+        self.registry = AttemptRegistry()
         self.driving: list[list[Any]] = []
         self.held: list[ClaimRow] = []
 
@@ -84,7 +84,7 @@
         if not node.held:
             return
         row = node.held.pop()
-        if not node.book.begin_send(row.attempt):
+        if not node.registry.begin_send(row.attempt):
             return
         state = self.rng.choice([ClaimState.RAN, ClaimState.NOT_RUN])
         if state is ClaimState.RAN:
@@ -94,7 +94,7 @@
 
     def send_and_crash(self) -> None:
         node = self.rng.choice(self.nodes)
-        if node.held and node.book.begin_send(node.held[-1].attempt):
+        if node.held and node.registry.begin_send(node.held[-1].attempt):
             self.journal.append(node.held[-1].attempt)
             self._crash(node)
 
@@ -118,7 +118,7 @@
     def _request(self, node: _Node) -> None:
         self.attempts += 1
         row = ClaimRow("c", "k", node.name, node.name, f"a{self.attempts}", "digest")
-        steps = claim_steps(row, node.book)
+        steps = claim_steps(row, node.registry)
         node.driving.append([steps, next(steps), row])
 
     def _write(self, step: Any) -> None:
@@ -130,7 +130,7 @@
     def _event(self, step: Any, fate: str) -> Any:
         if isinstance(step, AskClaimant):
             asked = [n for n in self.nodes if n.name == step.row.claimant]
-            return asked[0].book.word(step.row.attempt) if asked and fate == "ok" else None
+            return asked[0].registry.word(step.row.attempt) if asked and fate == "ok" else None
         if fate == "late":
             self.late.append(step)
             return None
@@ -151,7 +151,7 @@
         explore(ClaimWalk)
 
     def test_taking_over_from_a_silent_claimant_runs_twice(self) -> None:
-        """Without the rule that only the claimant's word frees a claim, a key runs twice."""
+        """When a claim is taken over without the claimant's status, a key runs twice."""
 
         def careless(
             row: ClaimRow, own_row: ClaimRow, word: AttemptStatus | None
@@ -166,7 +166,7 @@
             explore(ClaimWalk)
 
     def test_sending_after_abandoning_runs_twice(self) -> None:
-        """Without the book's settling, an abandoned attempt can still be sent."""
+        """When the registry does not record the abandonment, an abandoned attempt is still sent."""
         with (
             mock.patch.object(AttemptRegistry, "abandon", lambda self, attempt: True),
             mock.patch.object(AttemptRegistry, "word", lambda self, attempt: AttemptStatus.NEVER),
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -35,11 +35,11 @@
     def turn(self) -> None:
         number = self.rng.randrange(3)
         lease, now = self.leases[number], self.now + self.skew[number]
-        wish = lease.next_row(self.row, now)
-        if wish is not None and self.rng.random() < 0.9:
-            self.row = wish
+        new_row = lease.next_row(self.row, now)
+        if new_row is not None and self.rng.random() < 0.9:
+            self.row = new_row
             if self.rng.random() < 0.9:
-                lease.confirm(wish, now)
+                lease.confirm(new_row, now)
 
     def order(self) -> None:
         number = self.rng.randrange(3)
@@ -90,8 +90,8 @@
         original = Lease.next_row
 
         def same_fence(lease: Lease, row: LeaseRow | None, now: float) -> LeaseRow | None:
-            wish = original(lease, row, now)
-            return wish._replace(fence=1) if wish else None
+            new_row = original(lease, row, now)
+            return new_row._replace(fence=1) if new_row else None
 
         with (
             mock.patch.object(Lease, "next_row", same_fence),
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,4 +1,4 @@
-"""Block names: customers, versions and placement."""
+"""Names of cached blocks by customer and version, and placement by rendezvous hash."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: decoding, settings, and that the platform's names stay inside it."""
+"""The platform adapter: decoding, settings, and the platform's names, used only inside it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 _INSTANCE = Instance("i-1", "engines", "127.0.0.1:1", "a")
 ROOT = Path(__file__).resolve().parent.parent
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"Server-(Limit|Leaving)|X-(Expect-Instance|Not-Executed|Kv-|Cache-Salt|Deadline-Ms|Response-Seal|Credential)"
     r"|rows-(tx|feed|get)|kv-(events|list|free)|target-latency-ms|api-keys|traffic-split",
     re.IGNORECASE,
@@ -44,7 +44,7 @@
     b"X-Token-Usage",
     b"X-Prompt-Prefix",
 ]
-MOST_ADAPTER_LINES = 1500
+MAX_ADAPTER_LINE_COUNT = 1500
 
 SETTINGS = """
 node-name = "n1"
@@ -73,14 +73,14 @@
             if "standins" in file.parts[len(ROOT.parts) + 1]:
                 continue
             for number, line in enumerate(file.read_text().splitlines(), 1):
-                if NAMES.search(line):
+                if PLATFORM_NAMES.search(line):
                     found.append(f"{file.relative_to(ROOT)}:{number}: {line.strip()}")
         self.assertEqual(found, [])
 
     def test_the_adapter_stays_small(self) -> None:
         files = list((ROOT / "platform").rglob("*.py"))
         lines = sum(len(file.read_text().splitlines()) for file in files)
-        self.assertLess(lines, MOST_ADAPTER_LINES)
+        self.assertLess(lines, MAX_ADAPTER_LINE_COUNT)
         self.assertFalse((ROOT / "platform" / "__init__.py").exists())
 
 
@@ -97,7 +97,7 @@
         self.assertEqual(found.store_address, "10.9.0.1:90")
         self.assertEqual((found.node.name, found.node.gossip_port), ("n1", 7000))
         self.assertEqual((found.node.bounds.drain, found.node.bounds.entry_cache), (1.5, 4))
-        # Views must be as fresh as the stricter of both asks.
+        # The bound on stale views is the smaller of the two bounds.
         self.assertEqual((found.node.bounds.change, found.node.bounds.staleness), (1.2, 1.2))
 
     def test_a_fault_names_its_place_and_what_was_expected(self) -> None:
@@ -182,22 +182,22 @@
 
 
 class TestNotices(unittest.TestCase):
-    """What a target says of itself, in the head of any answer to a send."""
+    """Notices of a target about itself, in the head of an answer to any request."""
 
-    def response_info(self, status: int, *fields: tuple[bytes, bytes]) -> TargetNotice:
+    def _notice(self, status: int, *fields: tuple[bytes, bytes]) -> TargetNotice:
         send = OutgoingRequest(parsed=None, instance=_INSTANCE, seconds=1.0, customer="")  # type: ignore[arg-type]
         head = ResponseHead(status, Headers(fields), 0, True)
         return PlatformTargets(client=None).response_info(send, head).notice  # type: ignore[arg-type]
 
     def test_each_header_is_read(self) -> None:
-        self.assertEqual(self.response_info(200, (b"Server-Limit", b"1.5")).limit, 1.5)
-        self.assertEqual(self.response_info(503, (b"Server-Limit", b"0")).limit, 0.0)
-        self.assertTrue(self.response_info(200, (b"Server-Leaving", b"1")).leaving)
-        self.assertEqual(self.response_info(503, (b"Retry-After", b"3")).pause, 3.0)
-        self.assertEqual(self.response_info(429, (b"Retry-After", b"0.25")).pause, 0.25)
+        self.assertEqual(self._notice(200, (b"Server-Limit", b"1.5")).limit, 1.5)
+        self.assertEqual(self._notice(503, (b"Server-Limit", b"0")).limit, 0.0)
+        self.assertTrue(self._notice(200, (b"Server-Leaving", b"1")).leaving)
+        self.assertEqual(self._notice(503, (b"Retry-After", b"3")).pause, 3.0)
+        self.assertEqual(self._notice(429, (b"Retry-After", b"0.25")).pause, 0.25)
 
     def test_a_success_asks_for_no_pause(self) -> None:
-        self.assertEqual(self.response_info(200, (b"Retry-After", b"3")), TargetNotice())
+        self.assertEqual(self._notice(200, (b"Retry-After", b"3")), TargetNotice())
 
     def test_what_is_no_number_says_nothing(self) -> None:
         for text in (
@@ -210,19 +210,19 @@
             b"Wed, 21 Oct 2026 07:28:00 GMT",
         ):
             fields = ((b"Server-Limit", text), (b"Retry-After", text), (b"Server-Leaving", text))
-            self.assertEqual(self.response_info(503, *fields), TargetNotice(), text)
+            self.assertEqual(self._notice(503, *fields), TargetNotice(), text)
 
     def test_another_target_at_the_address_speaks_of_itself(self) -> None:
-        said = (b"Server-Leaving", b"1")
-        self.assertFalse(self.response_info(421, said).leaving)
-        self.assertFalse(self.response_info(421, said, (b"X-Instance-Id", b"other")).leaving)
-        self.assertFalse(self.response_info(200, said, (b"X-Instance-Id", b"other")).leaving)
-        self.assertTrue(self.response_info(421, said, (b"X-Instance-Id", b"i-1")).leaving)
+        leaving_header = (b"Server-Leaving", b"1")
+        self.assertFalse(self._notice(421, leaving_header).leaving)
+        self.assertFalse(self._notice(421, leaving_header, (b"X-Instance-Id", b"other")).leaving)
+        self.assertFalse(self._notice(200, leaving_header, (b"X-Instance-Id", b"other")).leaving)
+        self.assertTrue(self._notice(421, leaving_header, (b"X-Instance-Id", b"i-1")).leaving)
 
 
 class TestBytes(FleetCase):
     async def test_any_bytes_get_an_answer_or_a_close_and_nothing_is_sent_on(self) -> None:
-        # What looks like the beginning of a longer request is waited for only so long.
+        # The node waits this long for the rest of data that looks like an incomplete request.
         self.fleet.limits |= {"header-timeout-ms": 200, "idle-timeout-ms": 200}
         self.fleet.configure()
         worker = await self.fleet.worker(Worker(name="w1"), "plain")
@@ -241,11 +241,11 @@
         await self.fleet.worker(Worker(name="w1"), "plain")
         node = await self.fleet.node()
 
-        async def told() -> bool:
+        async def has_catalog_version() -> bool:
             answer = await get(node.settings.metrics, "/metrics")
             return b"fielddrift_catalog_version 2" in answer.body
 
-        await eventually(told)
+        await eventually(has_catalog_version)
 
 
 class TestLog(unittest.TestCase):
@@ -255,12 +255,12 @@
         for number in range(20_000):
             sink.write(f"line {number} {'x' * 200}\n")
         self.assertGreater(sink.lost, 0)
-        told = b""
+        output = b""
         until = time.monotonic() + 10
-        while b"log lines lost" not in told and time.monotonic() < until:
-            told += os.read(reading, 65536)
+        while b"log lines lost" not in output and time.monotonic() < until:
+            output += os.read(reading, 65536)
             sink.write("one more\n")
-        self.assertIn(b"log lines lost", told)
+        self.assertIn(b"log lines lost", output)
         os.close(reading)
         sink.close(seconds=1.0)
         os.close(writing)
