--- a/packages/core/src/fielddrift_core/catalog.py
+++ b/packages/core/src/fielddrift_core/catalog.py
@@ -49,9 +49,9 @@
 
     `attempts` is the most targets that one request may be sent to.  `priority`
     orders classes of requests, 0 is the most urgent.  A `resumable` stream may be
-    resumed at its next event on another target.  An answer is in time when its
-    first event takes at most `latency_goal`, and each gap between events at most
-    `gap_goal`.
+    resumed at its next event on another target.  `latency_goal` is the time in which
+    the answer should begin, `gap_goal` the longest gap between events that counts as
+    in time.
     """
 
     name: str
--- a/packages/core/src/fielddrift_core/claims.py
+++ b/packages/core/src/fielddrift_core/claims.py
@@ -105,7 +105,7 @@
 
 
 class TakeOverClaim(NamedTuple):
-    """Step: replace `version` by `row`; the event is the row stored afterwards."""
+    """Step: overwrite the row if it has `version`; the event is the row stored afterwards."""
 
     row: ClaimRow
     version: int
@@ -216,7 +216,8 @@
     """The state of each attempt that this incarnation of the node made.
 
     Peers are answered from this registry.  An attempt is either sent or abandoned:
-    the first of the two is final.  Not thread-safe.
+    the first of the two is final.  Above `limit` attempts, the oldest are removed.
+    Not thread-safe.
     """
 
     def __init__(self, *, limit: int = 100_000) -> None:
