--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""An evacuated data centre's targets get nothing, at any node, until it is taken back."""
+"""Targets of an evacuated data centre get no requests from any node until the evacuation ends."""
 
 from __future__ import annotations
 
@@ -24,78 +24,78 @@
 """Requests of each kind: enough to reach each of two targets."""
 
 
-def news(*begun: str, ended: tuple[str, ...] = (), whole: bool = False) -> EvacuationChanges:
+def changes(*begun: str, ended: tuple[str, ...] = (), whole: bool = False) -> EvacuationChanges:
     return EvacuationChanges(frozenset(begun), frozenset(ended), whole)
 
 
 class TestEvacuations(unittest.TestCase):
-    """The state by itself: who read further knows better, also of what is over."""
+    """The state alone: the one from the later read is valid, also for ended evacuations."""
 
-    def test_what_begins_and_ends_is_known(self) -> None:
+    def test_starts_and_ends_are_applied(self) -> None:
         known = Evacuations()
-        known.read(news("a", "b"), 10, 0.0)
-        known.read(news("c", ended=("a",)), 12, 1.0)
+        known.read(changes("a", "b"), 10, 0.0)
+        known.read(changes("c", ended=("a",)), 12, 1.0)
         self.assertEqual(known.current(1.0), {"b", "c"})
         self.assertEqual(known.row, 12)
 
-    def test_a_whole_reading_ends_what_it_lacks(self) -> None:
+    def test_a_complete_read_ends_evacuations_that_it_lacks(self) -> None:
         known = Evacuations()
-        known.read(news("a"), 10, 0.0)
-        known.read(news("b", whole=True), 12, 1.0)
+        known.read(changes("a"), 10, 0.0)
+        known.read(changes("b", whole=True), 12, 1.0)
         self.assertEqual(known.current(1.0), {"b"})
 
-    def test_readings_without_a_change_leave_the_row(self) -> None:
+    def test_reads_without_a_change_keep_the_row(self) -> None:
         known = Evacuations()
-        known.read(news("a"), 10, 0.0)
-        known.read(news(), 20, 0.0)
-        known.read(news("a", whole=True), 30, 0.0)
+        known.read(changes("a"), 10, 0.0)
+        known.read(changes(), 20, 0.0)
+        known.read(changes("a", whole=True), 30, 0.0)
         self.assertEqual(known.row, 10)
 
-    def test_a_copy_from_who_read_less_changes_nothing_and_is_not_asked_for_again(self) -> None:
+    def test_an_outdated_copy_is_not_applied_and_not_requested_again(self) -> None:
         known = Evacuations()
-        known.read(news("a"), 10, 0.0)
-        known.read(news(ended=("a",)), 14, 0.0)
+        known.read(changes("a"), 10, 0.0)
+        known.read(changes(ended=("a",)), 14, 0.0)
         known.merge(EvacuationState(("a",), 15), read=16, known=20, now=0.0)
         self.assertEqual(known.current(0.0), frozenset())
         self.assertEqual(known.row, 15)
 
-    def test_a_copy_from_who_read_more_is_taken_whole(self) -> None:
+    def test_a_later_copy_is_applied_completely(self) -> None:
         known = Evacuations()
-        known.read(news("a"), 10, 0.0)
+        known.read(changes("a"), 10, 0.0)
         known.merge(EvacuationState(("b",), 18), read=20, known=12, now=0.0)
         self.assertEqual(known.current(0.0), {"b"})
 
-    def test_begun_and_taken_back_between_two_readings_leaves_nothing(self) -> None:
+    def test_an_evacuation_that_ends_between_two_reads_has_no_effect(self) -> None:
         known = Evacuations()
-        known.read(news(ended=("a",)), 12, 0.0)
+        known.read(changes(ended=("a",)), 12, 0.0)
         self.assertEqual(known.current(0.0), frozenset())
 
-    def test_what_a_store_that_went_back_lacks_is_held_for_a_while(self) -> None:
+    def test_evacuations_that_a_restored_store_lacks_are_held_for_a_while(self) -> None:
         known = Evacuations()
-        known.read(news("a", "b"), combine(1, 50), 0.0)
-        known.read(news("b", whole=True), combine(2, 40), 5.0)
+        known.read(changes("a", "b"), combine(1, 50), 0.0)
+        known.read(changes("b", whole=True), combine(2, 40), 5.0)
         self.assertEqual(known.current(5.0), {"a", "b"})
         self.assertEqual(known.current(5.0 + LOST_SECONDS), {"b"})
 
-    def test_who_copies_from_who_met_the_new_era_holds_it_as_long(self) -> None:
+    def test_a_copy_of_a_held_evacuation_is_held_until_the_same_time(self) -> None:
         reader, other = Evacuations(), Evacuations()
-        reader.read(news("a"), combine(1, 50), 0.0)
-        reader.read(news(whole=True), combine(2, 40), 5.0)
+        reader.read(changes("a"), combine(1, 50), 0.0)
+        reader.read(changes(whole=True), combine(2, 40), 5.0)
         other.merge(reader.state(25.0), read=combine(2, 41), known=0, now=25.0)
         self.assertEqual(other.current(26.0), {"a"})
         self.assertEqual(other.current(5.0 + LOST_SECONDS), frozenset())
 
-    def test_what_is_taken_back_in_the_new_era_is_over(self) -> None:
+    def test_an_evacuation_that_is_ended_in_the_new_era_is_not_held(self) -> None:
         known = Evacuations()
-        known.read(news("a"), combine(1, 50), 0.0)
-        known.read(news(whole=True), combine(2, 40), 5.0)
-        known.read(news("a"), combine(2, 44), 6.0)
-        known.read(news(ended=("a",)), combine(2, 45), 7.0)
+        known.read(changes("a"), combine(1, 50), 0.0)
+        known.read(changes(whole=True), combine(2, 40), 5.0)
+        known.read(changes("a"), combine(2, 44), 6.0)
+        known.read(changes(ended=("a",)), combine(2, 45), 7.0)
         self.assertEqual(known.current(7.0), frozenset())
 
 
 class TestRegistry(unittest.TestCase):
-    def test_targets_of_evacuated_data_centres_stay_listed_and_serve_nothing(self) -> None:
+    def test_targets_of_evacuated_data_centres_stay_listed_without_requests(self) -> None:
         registry = TargetRegistry()
         for name, centre in (("x", "a"), ("y", "b")):
             registry.heard(Instance(name, "s", f"{name}:1", centre), 0.0)
@@ -215,7 +215,7 @@
             views.workload.begin(name, "full", 0, 60_000)
         call = asyncio.ensure_future(ask(node, "/chat/1", **prompt()))
         await eventually(lambda: len(views.service_queues.of("engines").queue) == 1)
-        views.evacuations.read(news("a"), 1 << 40, now)
+        views.evacuations.read(changes("a"), 1 << 40, now)
         views.apply_evacuations(now)
         for name in ("e-a", "e-b"):
             views.workload.end(name, "full")
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -1,8 +1,8 @@
-"""The list of nodes: rows of nodes that are gone go, and rows of nodes that live come back.
+"""The list of nodes: rows of removed nodes are deleted, and rows of live nodes are restored.
 
-Rows were written at each start and never removed.  Hosts that are replaced under new names
-left a row each for ever: every node that started read them all, introduced them to itself
-and sent each a heartbeat every five seconds from then on.
+Rows were written at each start and never deleted.  Each host that was replaced under a new
+name left its row for ever, and every node that started read all rows, added their nodes and
+sent each of them a heartbeat every five seconds from then on.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 QUICK_CHECKS = {"_CHECK_SECONDS": 0.1, "_CHECK_SECONDS_PER_NODE": 0.01}
 QUICK_SILENCE = {"_SILENT_SECONDS": 0.5, "_SILENT_HEARTBEAT_SECONDS": 0.1, "_MAX_UNANSWERED": 5}
-LOOKS = 5
+CHECK_COUNT = 5
 
 
 def encoded(node: Neighbour) -> bytes:
@@ -40,29 +40,31 @@
     def setUp(self) -> None:
         self.rows = SilentRows()
 
-    def _look(self, times: int, versions: dict[str, int], heard: Sequence[str] = ("me",)) -> None:
+    def _run_checks(
+        self, times: int, versions: dict[str, int], heard: Sequence[str] = ("me",)
+    ) -> None:
         for _ in range(times):
             self.rows.check(versions, heard)
 
-    def test_a_row_is_left_behind_after_many_looks_without_its_node(self) -> None:
-        self._look(LOOKS - 1, {"old": 7, "live": 8}, ["live"])
+    def test_a_row_is_abandoned_after_many_checks_without_its_node(self) -> None:
+        self._run_checks(CHECK_COUNT - 1, {"old": 7, "live": 8}, ["live"])
         self.assertEqual(self.rows.abandoned(), {})
-        self._look(1, {"old": 7, "live": 8}, ["live"])
+        self._run_checks(1, {"old": 7, "live": 8}, ["live"])
         self.assertEqual(self.rows.abandoned(), {"old": 7})
 
-    def test_a_start_or_a_heartbeat_begins_the_count_anew(self) -> None:
-        self._look(LOOKS - 1, {"started": 7, "heard": 8})
-        self._look(1, {"started": 9, "heard": 8}, ["heard"])
-        self._look(LOOKS - 1, {"started": 9, "heard": 8})
+    def test_a_restart_or_a_heartbeat_resets_the_count(self) -> None:
+        self._run_checks(CHECK_COUNT - 1, {"started": 7, "heard": 8})
+        self._run_checks(1, {"started": 9, "heard": 8}, ["heard"])
+        self._run_checks(CHECK_COUNT - 1, {"started": 9, "heard": 8})
         self.assertEqual(self.rows.abandoned(), {"started": 9})
 
-    def test_a_node_that_hears_nobody_counts_nothing(self) -> None:
-        self._look(2 * LOOKS, {"n1": 1, "n2": 2}, [])
+    def test_a_node_without_any_live_neighbour_resets_all_counts(self) -> None:
+        self._run_checks(2 * CHECK_COUNT, {"n1": 1, "n2": 2}, [])
         self.assertEqual(self.rows.abandoned(), {})
 
 
 class Table:
-    """The table of nodes; `after_read` runs between a reading and the write after it."""
+    """The table of nodes; `after_read` runs between a read and the write after it."""
 
     def __init__(self) -> None:
         self.rows_by_key: dict[str, SavedRow] = {}
@@ -95,7 +97,7 @@
 
 
 class MembershipTest(unittest.IsolatedAsyncioTestCase):
-    """One node's looks, without a network."""
+    """The checks of one node, without a network."""
 
     async def asyncSetUp(self) -> None:
         self.table = Table()
@@ -111,46 +113,46 @@
         self.table.put("old", encoded(neighbour("old")))
         await self.membership._join()
 
-    async def _look(self, times: int = 1) -> None:
+    async def _run_checks(self, times: int = 1) -> None:
         for _ in range(times):
             now = asyncio.get_running_loop().time()
             self.view.receive(heartbeat(neighbour("n1")), now)
             await self.membership._check()
 
-    async def test_a_look_is_one_call_where_nothing_is_wrong(self) -> None:
+    async def test_a_check_without_findings_is_one_call(self) -> None:
         self.table.put("n1", encoded(neighbour("n1")))
         before = self.table.calls
-        await self._look(3)
+        await self._run_checks(3)
         self.assertEqual(self.table.calls, before + 3)
 
-    async def test_a_node_that_starts_while_its_row_is_dropped_is_not_lost(self) -> None:
-        await self._look(LOOKS - 1)
+    async def test_a_node_that_starts_while_its_row_is_deleted_stays_listed(self) -> None:
+        await self._run_checks(CHECK_COUNT - 1)
         started = encoded(neighbour("old", boot=2))
         self.table.after_read = lambda: self.table.put("old", started)
-        await self._look()
+        await self._run_checks()
         self.assertEqual(self.table.rows_by_key["old"].value, started)
         self.table.after_read = lambda: None
-        await self._look(LOOKS - 2)
+        await self._run_checks(CHECK_COUNT - 2)
         self.assertIn("old", self.table.rows_by_key)
-        await self._look(2)
+        await self._run_checks(2)
         self.assertNotIn("old", self.table.rows_by_key)
 
-    async def test_what_lives_and_is_not_listed_is_listed_again(self) -> None:
+    async def test_live_nodes_without_rows_are_listed_again(self) -> None:
         self.table.rows_by_key.clear()
-        await self._look()
+        await self._run_checks()
         self.assertEqual(set(self.table.rows_by_key), {"me", "n1"})
         self.assertEqual(self.table.rows_by_key["n1"].value, encoded(neighbour("n1")))
 
-    async def test_only_the_first_active_node_drops_rows(self) -> None:
+    async def test_only_the_coordinator_deletes_rows(self) -> None:
         self.view.receive(
             heartbeat(neighbour("a0"))._replace(period=60.0), asyncio.get_running_loop().time()
         )
-        await self._look(3 * LOOKS)
+        await self._run_checks(3 * CHECK_COUNT)
         self.assertIn("old", self.table.rows_by_key)
 
 
 class FleetTest(FleetCase):
-    """Whole nodes, with short rests between looks."""
+    """Complete nodes, with short intervals between checks."""
 
     async def asyncSetUp(self) -> None:
         for module, figures in (
@@ -176,7 +178,7 @@
         for name in ("node-1", "node-2"):
             self.assertIsNotNone(self.fleet.store.get("members", name))
 
-    async def test_a_node_that_was_cut_off_for_long_comes_back(self) -> None:
+    async def test_a_node_that_was_partitioned_for_long_returns(self) -> None:
         address = f"{HOST}:{free_port()}"
         way = await self.fleet.store.door(HOST, int(address.rpartition(":")[2]))
         self.addCleanup(way.close)
@@ -185,7 +187,7 @@
         loop = asyncio.get_running_loop()
         for node in (*nodes, lost):
             await eventually(lambda n=node: len(n.node._neighbours.active(loop.time())) == 3)
-        # Its last heartbeat says that the next one comes soon: its silence is soon seen.
+        # Its last heartbeat states a short period, so that its silence is detected soon.
         lost.node._gossip.send_to_all()
         way.turned_away = True
         gossip = lost.node._gossip
--- a/tests/test_target_leaving.py
+++ b/tests/test_target_leaving.py
@@ -17,7 +17,7 @@
 
 
 class TestRegistry(unittest.TestCase):
-    """What a target said lasts as long as its life, whatever becomes of its entry."""
+    """A report that a target leaves is valid until its instance ends, whatever its entry does."""
 
     def setUp(self) -> None:
         self.registry = TargetRegistry()
@@ -35,17 +35,17 @@
         self.registry.heard(self.entry, 21.0)
         self.assertEqual(self.serving(), [])
 
-    def test_a_whole_list_does_not_make_it_ready(self) -> None:
+    def test_a_complete_list_does_not_make_it_ready(self) -> None:
         self.registry.replaced([], 1.0)
         self.registry.replaced([self.entry], 2.0)
         self.assertEqual(self.serving(), [])
 
-    def test_a_copy_of_a_node_that_has_not_heard_does_not_make_it_ready(self) -> None:
+    def test_a_copy_from_a_node_without_the_report_does_not_make_it_ready(self) -> None:
         self.registry.apply_copy([], [])
         self.registry.apply_copy([self.entry], [])
         self.assertEqual(self.serving(), [])
 
-    def test_what_is_told_before_its_entry_is_known_counts(self) -> None:
+    def test_a_report_before_its_entry_is_known_counts(self) -> None:
         late = Instance("u", "s", "10.0.0.2:80", "a")
         self.registry.left("u")
         self.registry.heard(late, 1.0)
@@ -53,27 +53,27 @@
 
 
 class TestHeartbeats(unittest.IsolatedAsyncioTestCase):
-    async def test_all_that_leave_are_told_of_however_many_they_are(self) -> None:
+    async def test_any_number_of_leaving_targets_is_sent(self) -> None:
         """A whole data centre's targets may leave at once."""
-        teller, hearer = Views(), Views()
+        sender, receiver = Views(), Views()
         names = {f"t{number}" for number in range(100)}
-        for views in (teller, hearer):
+        for views in (sender, receiver):
             for name in names:
                 views.registry.heard(Instance(name, "s", "10.0.0.1:80", "a"), 0.0)
         for name in names:
-            teller.registry.left(name)
+            sender.registry.left(name)
         translators = [
             HeartbeatTranslator(
                 views=views,
                 neighbours=Neighbours(me=Neighbour(name, 1, "a", "h:1", "h:2", "h:3")),
             )
-            for name, views in (("n1", teller), ("n2", hearer))
+            for name, views in (("n1", sender), ("n2", receiver))
         ]
         for _ in range(20):
             heartbeat = translators[0].heartbeat(Relation(True, True, True), leaving=False)
             self.assertLessEqual(len(heartbeat.left), 16)
             translators[1].heard(heartbeat)
-        self.assertEqual(hearer.registry.leaving(), names)
+        self.assertEqual(receiver.registry.leaving(), names)
 
 
 class TestLeaving(TwoTargets):
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -1,9 +1,9 @@
-"""A target may start again under the id that it had, and rows may come from other writers.
+"""Targets that restart under the same id, and rows from other writers.
 
-Sequence: an engine says that it drains, or is seen to have new weights, and crashes; it
-starts again under its id, ready, with the weights that it had before.  What was known of
-the earlier life (leaving, weights, failures, what runs there, orders taken) stood for the
-new one: it got no work, or prompts under weights that it does not have.
+Sequence: an engine reports that it drains, or is known to have new weights, and crashes.  It
+restarts under its id, ready, with its former weights.  The state of the earlier instance
+(leaving, weights, failures, running requests, accepted orders) was applied to the new one, so
+it got no requests, or prompts for weights that it does not have.
 """
 
 from __future__ import annotations
@@ -49,14 +49,12 @@
 class TestNames(unittest.TestCase):
     @given(st.text(alphabet="ab#12²"), st.none() | st.integers(0, 10**15))
     @settings(derandomize=True)
-    def test_each_life_has_its_own_name_that_tells_the_id(
-        self, target: str, born: int | None
-    ) -> None:
+    def test_each_instance_name_contains_the_target_id(self, target: str, born: int | None) -> None:
         self.assertEqual(target_id(instance_name(target, born)), target)
 
     @given(st.text(alphabet="ab#12"), st.text(alphabet="ab#12"), st.integers(0, 99))
     @settings(derandomize=True)
-    def test_no_two_lives_have_one_name(self, one: str, other: str, born: int) -> None:
+    def test_no_two_instances_have_the_same_name(self, one: str, other: str, born: int) -> None:
         if one != other:
             self.assertNotEqual(instance_name(one, born), instance_name(other, born))
             self.assertNotEqual(instance_name(one, None), instance_name(other, born))
@@ -69,53 +67,53 @@
         self.views = Views()
         self.views.registry = self.registry
 
-    def _hear(self, born: int, **fields: Any) -> Instance:
+    def _receive(self, born: int, **fields: Any) -> Instance:
         found = decode_instance("e", entry(born=born, **fields))
         self.registry.heard(found, 0.0)
         return found
 
-    def test_a_new_life_of_a_leaving_target_gets_work(self) -> None:
-        self._hear(1, state="draining")
+    def test_a_new_instance_of_a_leaving_target_gets_requests(self) -> None:
+        self._receive(1, state="draining")
         self.assertEqual(self.registry.serving("s"), [])
-        found = self._hear(2)
+        found = self._receive(2)
         self.assertEqual(self.registry.serving("s"), [found])
         self.assertEqual(self.registry.leaving(), frozenset())
         self.assertEqual(len(self.registry), 1)
 
-    def test_what_was_seen_of_an_earlier_life_is_not_known_of_the_next(self) -> None:
+    def test_state_of_an_earlier_instance_is_not_applied_to_the_next(self) -> None:
         views = self.views
-        first = self._hear(1)
+        first = self._receive(1)
         views.record_weights(first.name, "m", 7)
         views.health.failed(first.name, 0.0)
         views.workload.begin(first.name, "r", int(PREFILL_TOKENS_PER_SECOND))
         views.loading.record_own(first.name, 9.0)
-        second = self._hear(2)
+        second = self._receive(2)
         self.assertEqual(views.weights_of(second.name, "m"), 1)
         self.assertEqual(views.health.share(second.name, 0.0), 0.0)
         self.assertEqual(views.workload.burden_of(second.name, 0.0).running, 0)
         self.assertEqual(views.loading.seconds(second.name, 0.0), 0.0)
 
-    def test_the_end_of_an_entry_names_the_target_and_ends_its_life(self) -> None:
-        self._hear(1)
+    def test_the_end_of_an_entry_names_the_target_and_ends_its_instance(self) -> None:
+        self._receive(1)
         self.registry.entry_ended("e", 0.0)
         self.assertEqual(len(self.registry), 0)
 
-    def test_a_life_that_lapsed_is_not_held_beside_the_next(self) -> None:
-        self._hear(1)
+    def test_a_lapsed_instance_is_not_held_beside_the_next(self) -> None:
+        self._receive(1)
         self.registry.store_returned(0.0)
         self.registry.entry_ended("e", 0.1)
         self.assertEqual(len(self.registry.lapsed(0.2)), 1)
-        found = self._hear(2)
+        found = self._receive(2)
         self.assertEqual(list(self.registry.all()), [found])
         self.assertEqual(self.registry.lapsed(0.2), {})
 
-    def test_a_target_whose_entry_is_none_is_not_used_though_entries_may_have_lapsed(self) -> None:
-        self._hear(1)
+    def test_a_target_with_an_invalid_entry_is_not_held_as_lapsed(self) -> None:
+        self._receive(1)
         self.registry.store_returned(0.0)
         self.registry.drop("e")
         self.assertEqual((len(self.registry), self.registry.lapsed(0.1)), (0, {}))
         self.assertEqual(self.registry.serving("s"), [])
-        found = self._hear(1)
+        found = self._receive(1)
         self.assertEqual(self.registry.serving("s"), [found])
 
     @given(
@@ -130,7 +128,7 @@
         )
     )
     @settings(max_examples=300, derandomize=True, deadline=None)
-    def test_one_life_of_a_target_is_listed_at_most(self, steps: list[Any]) -> None:
+    def test_at_most_one_instance_of_a_target_is_listed(self, steps: list[Any]) -> None:
         registry, now = TargetRegistry(), 0.0
         for kind, born, flag in steps:
             now += 0.5
