--- a/packages/node/src/fielddrift_node/serving/duty.py
+++ b/packages/node/src/fielddrift_node/serving/duty.py
@@ -78,7 +78,7 @@
         return same_era and asyncio.get_running_loop().time() < self._until - _ORDER_MARGIN_SECONDS
 
     async def acquire(self) -> bool:
-        """Acquire or renew the lease and return whether it is held; raise `OutOfReach`."""
+        """Acquire or renew the lease and return whether it is held; raise `RemoteCallError`."""
         loop = asyncio.get_running_loop()
         if self.held() and loop.time() < self._renew_at:
             return True
