--- a/tests/test_new_reader.py
+++ b/tests/test_new_reader.py
@@ -1,4 +1,4 @@
-"""A node that becomes its data centre's reader can be relied on as soon as it has read."""
+"""A node that becomes its data centre's reader is not stale while its first call waits."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Store:
-    """A store and a neighbour that both answer in time; nothing changes."""
+    """A store and a neighbour that respond in time, without any changes."""
 
     calls = 0
 
@@ -43,21 +43,20 @@
 
 
 class TestNewReader(unittest.TestCase):
-    """The reader is gone, and the next one begins to read.
+    """The reader has failed, and the next one starts to read.
 
-    Sequence: it knows the operators' rows by a copy, so its first call of its own is a
-    long poll of 1.2 s; until that ends it has never had an answer itself, and tells an
-    age without end.  All other nodes of the data centre take it for overdue, and read
-    the targets and the operators' rows for themselves meanwhile.  Cause: to begin a wait
-    is judged as to have waited for ever.
+    Failure: the new reader has a copy of the operators' rows, so its first own call is a long
+    poll of 1.2 s.  Until that call ends it has no response of its own, and reports an infinite
+    age.  All other nodes of the data centre take it for stale, and read the targets and the
+    operators' rows themselves in the meantime.
     """
 
-    def test_the_next_reader_is_not_overdue_while_its_first_call_waits(self) -> None:
+    def test_the_next_reader_is_not_stale_while_its_first_call_waits(self) -> None:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
-        loop.run_until_complete(self._takes_over())
+        loop.run_until_complete(self._take_over())
 
-    async def _takes_over(self) -> None:
+    async def _take_over(self) -> None:
         loop = asyncio.get_running_loop()
         store, views = Store(), Views()
         views.update_weights(NamedWeights("m", 0), loop.time())
@@ -71,20 +70,20 @@
             rng=random.Random(1),
         )
         feed = OperatorFeed(tools=tools, on_change=lambda: None)
-        # "reader" is a larger host, and so goes before this node.
+        # "reader" is a larger host, so it precedes this node in the order.
         reader = _neighbour("reader")._replace(capacity=100.0)
-        told = Heartbeat(reader, True, False, 0, {"m": 1}, {}, period=0.15)
-        told = told._replace(reading=ReadState(_ROW, 1, 1, 0.1))
-        neighbours.receive(told, loop.time())
+        sent = Heartbeat(reader, True, False, 0, {"m": 1}, {}, period=0.15)
+        sent = sent._replace(reading=ReadState(_ROW, 1, 1, 0.1))
+        neighbours.receive(sent, loop.time())
         task = asyncio.ensure_future(feed.run())
-        feed.heard(told)
+        feed.heard(sent)
         while not store.asked_at:
             await asyncio.sleep(0.05)
-        # It reads the targets as well, in the same time.
+        # Meanwhile it reads the targets as well.
         views.targets_read_at = loop.time()
         await asyncio.sleep(0.3)
-        overdue = views.read_state(loop.time()).age
+        age = views.read_state(loop.time()).age
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.assertEqual(views.named, {"m": 1})
-        self.assertLessEqual(overdue, 1.0)
+        self.assertLessEqual(age, 1.0)
--- a/tests/test_release_before.py
+++ b/tests/test_release_before.py
@@ -1,4 +1,4 @@
-"""A node of the release before understands what a new one tells, and the other way round."""
+"""Nodes of the previous release can decode the messages of new nodes, and vice versa."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FormerReading(NamedTuple):
-    """`ReadState` as the release before has it."""
+    """`ReadState` of the previous release."""
 
     operators: int = 0
     targets: int = 0
@@ -26,7 +26,7 @@
 
 
 class FormerTargetCopy(NamedTuple):
-    """`TargetCopy` as the release before has it."""
+    """`TargetCopy` of the previous release."""
 
     entries: tuple[Instance, ...]
     leaving: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 
 def _former_heartbeat() -> Any:
-    """Return `Heartbeat` as the release before has it: its `reading` has four fields."""
+    """Return `Heartbeat` of the previous release: its `reading` has four fields."""
     hints = get_type_hints(Heartbeat) | {"reading": FormerReading}
     former = NamedTuple("FormerHeartbeat", list(hints.items()))  # type: ignore[misc]
     defaults = Heartbeat._field_defaults | {"reading": FormerReading()}
@@ -48,24 +48,24 @@
 
 
 class TestReleaseBefore(unittest.TestCase):
-    """Nodes are replaced in turn, and for a while two releases run side by side.
-
-    Sequence: a new node's heartbeat had five fields in `reading`; a node of the release
-    before refused the whole datagram (`heartbeat not understood`, `Expected array of length
-    0 to 4, got 5 - at $[9]`), for each heartbeat of each new node.  It took all new nodes
-    for gone: it shared what all may do (repeated sends, connections) among the old ones
-    only, sent callers that ask to those, and heard no burdens, leaving targets or ages.
-    Cause: a NamedTuple in MessagePack is an array, and a longer one is refused.
+    """During a rolling upgrade, nodes of two releases run at the same time.
+
+    Failure: a new node's heartbeat had five fields in `reading`, and a node of the previous
+    release rejected every such datagram (`heartbeat not understood`, `Expected array of length
+    0 to 4, got 5 - at $[9]`).  It took all new nodes for dead: it divided limits for all nodes
+    (retries, connections) among the old ones only, referred callers only to those, and received
+    no burdens, leaving targets or ages.  Cause: MessagePack encodes a NamedTuple as an array,
+    and a longer array is rejected.
     """
 
-    def test_a_former_node_understands_a_heartbeat(self) -> None:
-        told = Heartbeat(_ME, True, False, 7, {"m": 2}, {}, reading=ReadState(5, 6, 7, 0.1))
+    def test_a_former_node_decodes_a_heartbeat(self) -> None:
+        sent = Heartbeat(_ME, True, False, 7, {"m": 2}, {}, reading=ReadState(5, 6, 7, 0.1))
         former = _former_heartbeat()
-        heard = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=former)
+        heard = msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=former)
         self.assertEqual(heard.node, _ME)
 
-    def test_a_copy_that_is_not_understood_counts_as_not_reached(self) -> None:
-        # A copy has gained `lapsed`: a former node refuses it, and reads for itself.
+    def test_a_copy_that_cannot_be_decoded_is_a_failed_call(self) -> None:
+        # `lapsed` is a new field: a former node rejects the copy, and reads for itself.
         copy = TargetCopy((Instance("x", "s", "x:1", "a"),), (), 3, 4, {"x": 1.0})
         data = msgspec.msgpack.encode(copy)
         with self.assertRaises(msgspec.ValidationError):
@@ -76,10 +76,10 @@
         with self.assertRaisesRegex(RemoteCallError, "not understood"):
             asyncio.run(PeerClient(client=client).targets(_ME))
 
-    def test_a_new_node_understands_a_former_one(self) -> None:
+    def test_a_new_node_decodes_messages_of_a_former_one(self) -> None:
         former = _former_heartbeat()
-        told = former(_ME, True, False, 7, {"m": 2}, {}, reading=FormerReading(5, 6, 7, 0.1))
-        heard = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=Heartbeat)
+        sent = former(_ME, True, False, 7, {"m": 2}, {}, reading=FormerReading(5, 6, 7, 0.1))
+        heard = msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=Heartbeat)
         self.assertEqual(heard.reading, ReadState(5, 6, 7, 0.1))
         copied = FormerTargetCopy((Instance("x", "s", "x:1", "a"),), (), 3, 4)
         copy = msgspec.msgpack.decode(msgspec.msgpack.encode(copied), type=TargetCopy)
