--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -141,7 +141,7 @@
         self._targets = TargetFeed(
             tools=feed_tools,
             on_change=lambda: self._gossip.schedule_update(Scope.ALL),
-            returned=self._operators.hurry,
+            returned=self._operators.restart_poll,
         )
         self._store_tracker = StoreTracker(
             views=self._views,
@@ -332,7 +332,7 @@
             delay = self._views.tick(loop.time(), rest=_TICK_INTERVAL_SECONDS)
             if delay > PAUSE_THRESHOLD_SECONDS:
                 _log.warning("this process was paused", seconds=round(delay, 2))
-                self._operators.again()
+                self._operators.read_now()
                 self._targets.read_now()
             self._check_store_era(loop.time())
             for data_centre in self._views.apply_evacuations(loop.time()).ended:
--- a/packages/node/src/fielddrift_node/serving/operator_feed.py
+++ b/packages/node/src/fielddrift_node/serving/operator_feed.py
@@ -1,4 +1,5 @@
-"""Keep the views of what operators wrote up to date: the catalog and the named weights."""
+"""Follow the operators' rows and keep the views of catalog, named weights and evacuations
+current."""
 
 from __future__ import annotations
 
@@ -20,33 +21,33 @@
 
 __all__ = ["OperatorFeed"]
 
-_READER_SECONDS = 0.6
-"""How long the reader is given for what nodes elsewhere have: it takes some 0.1 s in good
-health, and 2 s after a change it must be in force."""
-_OLD_SECONDS = 2 * OPERATORS_POLL_SECONDS
-"""Age of a node's own reading from which it first reads without waiting: in good health
-it grows up to one wait."""
+_READER_TIMEOUT_SECONDS = 0.6
+"""Time for the reader to copy what nodes in other data centres have, before this node asks them
+itself. Copying normally takes about 0.1 s, and a change must be in force within 2 s."""
+_MAX_AGE_SECONDS = 2 * OPERATORS_POLL_SECONDS
+"""Age of a node's own data from which it first reads without waiting. Normally the age stays below
+the wait of one long poll."""
 
 _log = structlog.get_logger()
 
 
-class _Origin(NamedTuple):
-    """Who told of operators' rows; `seconds` for which the platform's answer was waited for."""
+class _Source(NamedTuple):
+    """Source of the operators' rows; `seconds` is the time taken by the platform's answer."""
 
     name: str
     seconds: float | None = None
 
 
-def _rounded(seconds: float | None) -> float | None:
-    """Return `seconds` as a log line tells them; None for none and for never."""
+def _round_seconds(seconds: float | None) -> float | None:
+    """Return `seconds` rounded for a log line; None if it is None or infinite."""
     return None if seconds is None or seconds == float("inf") else round(seconds, 3)
 
 
 class OperatorFeed(Feed):
-    """Follow the operators' rows: with one long poll, and by what other nodes know.
+    """Follows the operators' rows with one long poll, and by copying what other nodes have.
 
-    Whoever has something newer is asked for it, reader or not, so that a node
-    that is cut off from the platform alone does not fall behind.
+    Any node that has newer rows is asked for them, not only the reader, so that a node that is the
+    only one disconnected from the platform does not fall behind.
     """
 
     def __init__(
@@ -56,23 +57,24 @@
         on_change: Callable[[], None],
     ) -> None:
         super().__init__(what="operators' rows", tools=tools, on_change=on_change)
-        self._call: asyncio.Task[None] | None = None
-        self._hurry = False
-        self._waiting = False
-        """Whether the call under way is a long poll."""
-        self._ahead: dict[str, Heartbeat] = {}
-        """Nodes that told of something newer, by name, the first to be asked first."""
-        self._told = asyncio.Event()
+        self._call_task: asyncio.Task[None] | None = None
+        self._read_immediately = False
+        self._in_long_poll = False
+        """Whether the call in progress is a long poll."""
+        self._newer_nodes: dict[str, Heartbeat] = {}
+        """Heartbeats of the nodes that reported newer rows, by name, in the order to ask them."""
+        self._newer_reported = asyncio.Event()
         self._behind_since: float | None = None
-        """When this node first heard of something newer than it has."""
+        """When this node first received a report of newer rows than it has."""
         self._evacuations_row = 0
-        """The operators' row up to which evacuations are known."""
+        """The version of the operators' rows up to which evacuations are known."""
 
     def heard(self, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat: a node that knows something newer is asked for it.
+        """Handle a heartbeat: a node that reports newer rows is asked for them.
 
-        What nodes elsewhere know, the reader asks the one for that it relies on; it is nearer
-        to the others, which ask for themselves once it should have had it.
+        Rows of nodes in other data centres are requested by the reader that uses them as its
+        source. The other nodes copy them from the reader, which is closer, and ask for themselves
+        only if it does not get them in time.
         """
         self.returned()
         if not self._is_newer(heartbeat):
@@ -80,39 +82,39 @@
         now = asyncio.get_running_loop().time()
         if self._behind_since is None:
             self._behind_since = now
-        late = now - self._behind_since > _READER_SECONDS
+        is_late = now - self._behind_since > _READER_TIMEOUT_SECONDS
         reader = self.reader()
-        relied_on = reader is None or reader.name == heartbeat.node.name
-        if relied_on or late or self.is_local(heartbeat.node):
-            self._ahead[heartbeat.node.name] = heartbeat
-            self._told.set()
-
-    def hurry(self) -> None:
-        """Read at once, for a long poll may be lost."""
-        self._hurry = True
-        # A plain reading ends by itself: called off at each hint, it might never.
-        if self._call is not None and self._waiting:
-            self._call.cancel()
-
-    def again(self) -> None:
-        """Read at once, leaving any call: its answer may be from before a pause."""
-        self._hurry = True
-        if self._call is not None:
-            self._call.cancel()
+        is_source = reader is None or reader.name == heartbeat.node.name
+        if is_source or is_late or self.is_local(heartbeat.node):
+            self._newer_nodes[heartbeat.node.name] = heartbeat
+            self._newer_reported.set()
+
+    def restart_poll(self) -> None:
+        """Read at once, because a long poll may be lost."""
+        self._read_immediately = True
+        # A plain read ends by itself, and might never complete if each call cancelled it.
+        if self._call_task is not None and self._in_long_poll:
+            self._call_task.cancel()
+
+    def read_now(self) -> None:
+        """Read at once, cancelling any call, because its answer may date from before a pause."""
+        self._read_immediately = True
+        if self._call_task is not None:
+            self._call_task.cancel()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        spread = asyncio.ensure_future(self._spread())
+        """Follow the rows until cancelled."""
+        copying = asyncio.ensure_future(self._copy_newer())
         try:
             while True:
-                await self._read_on()
+                await self._run_turn()
         finally:
-            spread.cancel()
+            copying.cancel()
 
-    async def _read_on(self) -> None:
-        self._call = asyncio.ensure_future(self._turn())
+    async def _run_turn(self) -> None:
+        self._call_task = asyncio.ensure_future(self._read())
         try:
-            await self._call
+            await self._call_task
         except asyncio.CancelledError:
             current = asyncio.current_task()
             if current is not None and current.cancelling():
@@ -123,59 +125,60 @@
         except (RemoteCallError, msgspec.DecodeError) as error:
             await self._back_off(error)
 
-    async def _turn(self) -> None:
+    async def _read(self) -> None:
         reader = self.reader()
         if reader is not None and not self._views.stale.is_set():
-            self._rely_on(reader)
+            self._adopt_age(reader)
             await asyncio.sleep(self._reader_check_seconds())
             return
-        hurry, self._hurry = self._hurry, False
+        immediately, self._read_immediately = self._read_immediately, False
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        # Whose own reading is old seems to hang: others rely on it once it has read.
-        old = began - self._views.operators_read_at > _OLD_SECONDS
-        at_once = hurry or old or self._after is None or self._backoff.failing
-        news = await self._ask(0.0 if at_once else OPERATORS_POLL_SECONDS)
-        if news is None:
-            # What it should have told stands there to be read, over a new connection.
-            self._hurry = True
+        started_at = loop.time()
+        # Other nodes do not use a source with old data, so this node first reads without waiting.
+        is_old = started_at - self._views.operators_read_at > _MAX_AGE_SECONDS
+        at_once = immediately or is_old or self._after is None or self._backoff.failing
+        changes = await self._call_platform(0.0 if at_once else OPERATORS_POLL_SECONDS)
+        if changes is None:
+            # Read the changes that the poll should have returned, over a new connection.
+            self._read_immediately = True
             return
         self._backoff.succeeded()
-        self._after = news.version
-        self._views.operators_row = max(self._views.operators_row, news.version)
-        self._views.evacuations.read(news.evacuations, news.version, loop.time())
-        self._evacuations_row = max(self._evacuations_row, news.version)
-        self._take(news.catalog, news.weights, _Origin("platform", loop.time() - began))
+        self._after = changes.version
+        self._views.operators_row = max(self._views.operators_row, changes.version)
+        self._views.evacuations.read(changes.evacuations, changes.version, loop.time())
+        self._evacuations_row = max(self._evacuations_row, changes.version)
+        self._apply(changes.catalog, changes.weights, _Source("platform", loop.time() - started_at))
         self._views.operators_read_at = loop.time()
         self._views.mark_current()
 
-    def _rely_on(self, reader: Neighbour) -> None:
-        """Take the age of what a reader in another data centre has, once this node has it too."""
+    def _adopt_age(self, reader: Neighbour) -> None:
+        """Adopt the age of the rows of a reader in another data centre once this node has them
+        too."""
         if self.is_local(reader) or self._behind_since is not None:
             return
         now = asyncio.get_running_loop().time()
-        # The age leaves out the wait that is due to a call for these rows.
+        # The reported age excludes the wait of a long poll for these rows.
         read_at = now - self._reading_of(reader, now).age - OPERATORS_POLL_SECONDS
         self._views.operators_read_at = max(self._views.operators_read_at, read_at)
 
-    async def _ask(self, wait: float) -> OperatorChanges | None:
-        """Return what the platform tells, None for a long poll that fell silent."""
+    async def _call_platform(self, wait: float) -> OperatorChanges | None:
+        """Return the platform's answer, None for a long poll that timed out without one."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        self._waiting = wait > 0
+        started_at = loop.time()
+        self._in_long_poll = wait > 0
         try:
             return await self._platform.operator_changes(self._after, wait)
         except RemoteCallError as error:
-            seconds = loop.time() - began
+            seconds = loop.time() - started_at
             if not wait or error.not_executed:
                 raise
             _log.warning("long poll given up", seconds=round(seconds, 3), error=str(error))
             if seconds < wait:
-                # Reset, not silent: without a rest it could be so again and again.
+                # The connection was reset. Without a backoff this could repeat in a tight loop.
                 raise
             return None
         finally:
-            self._waiting = False
+            self._in_long_poll = False
 
     # --- what other nodes know ----------------------------------------------------
 
@@ -183,54 +186,55 @@
         views = self._views
         known = 0 if views.catalog is None else views.catalog.version
         named = any(version > views.named.get(m, 0) for m, version in heartbeat.named.items())
-        told = heartbeat.burdens.get(EVACUATIONS_NAME)
-        evacuated = told is not None and told.memory > views.evacuations.row
+        reported = heartbeat.burdens.get(EVACUATIONS_NAME)
+        evacuated = reported is not None and reported.memory > views.evacuations.row
         return heartbeat.catalog > known or named or evacuated
 
-    async def _spread(self) -> None:
-        """Copy from nodes that know something newer, until cancelled."""
+    async def _copy_newer(self) -> None:
+        """Copy rows from nodes that have newer ones, until cancelled."""
         while True:
-            await self._told.wait()
-            self._told.clear()
-            while self._ahead:
-                # In turn: one that hangs and goes on telling must not hide the others.
-                heartbeat = self._ahead.pop(next(iter(self._ahead)))
+            await self._newer_reported.wait()
+            self._newer_reported.clear()
+            while self._newer_nodes:
+                # In turn, so that a node that hangs but keeps sending heartbeats does not block the
+                # others.
+                heartbeat = self._newer_nodes.pop(next(iter(self._newer_nodes)))
                 if self._is_newer(heartbeat):
-                    await self._copy(heartbeat.node)
+                    await self._copy_from(heartbeat.node)
 
-    async def _copy(self, node: Neighbour) -> None:
+    async def _copy_from(self, node: Neighbour) -> None:
         try:
-            self._take_copy(await self._peers.operators(node), node.name)
+            self._apply_copy(await self._peers.operators(node), node.name)
         except RemoteCallError as error:
-            # Its next heartbeat, or another node's, says the same again.
+            # The next heartbeat of this or another node reports the newer rows again.
             _log.info("node not reached", peer=node.name, error=str(error))
 
-    def _take_copy(self, copy: OperatorCopy, told_by: str) -> None:
+    def _apply_copy(self, copy: OperatorCopy, told_by: str) -> None:
         self._views.operators_row = max(self._views.operators_row, copy.row)
         if copy.evacuations is not None:
-            self._take_evacuations(copy.evacuations, copy.row)
-            # Who does not tell of evacuations may have passed over rows that do.
+            self._apply_evacuations(copy.evacuations, copy.row)
+            # A node that does not send evacuations may have skipped rows that contain them.
             self._after = max(self._after or 0, copy.row)
         weights = tuple(NamedWeights(model, version) for model, version in copy.named.items())
-        self._take(copy.catalog, weights, _Origin(told_by))
-        # Even where nothing changed: it may have been told of under a later row.
+        self._apply(copy.catalog, weights, _Source(told_by))
+        # Even if nothing changed, as the rows may have been reported under a later version.
         self._behind_since = None
 
-    def _take_evacuations(self, state: EvacuationState, row: int) -> None:
+    def _apply_evacuations(self, state: EvacuationState, row: int) -> None:
         now = asyncio.get_running_loop().time()
         known = self._evacuations_row
         self._views.evacuations.merge(state, read=row, known=known, now=now)
         self._evacuations_row = max(known, row)
 
-    def _take(
-        self, catalog: Catalog | None, weights: tuple[NamedWeights, ...], origin: _Origin
+    def _apply(
+        self, catalog: Catalog | None, weights: tuple[NamedWeights, ...], origin: _Source
     ) -> None:
         views = self._views
         now = asyncio.get_running_loop().time()
-        sight = {
+        log_fields = {
             "told_by": origin.name,
-            "polled": _rounded(origin.seconds),
-            "age": _rounded(now - views.operators_read_at),
+            "polled": _round_seconds(origin.seconds),
+            "age": _round_seconds(now - views.operators_read_at),
         }
         changed = False
         if catalog is not None and views.update_catalog(catalog):
@@ -239,7 +243,7 @@
                 "catalog taken",
                 version=views.catalog.version,
                 row=version_of(views.operators_row),
-                **sight,
+                **log_fields,
             )
             changed = True
         for named in weights:
@@ -250,15 +254,15 @@
                     model=named.model,
                     version=named.version,
                     known_seconds=round(known, 3),
-                    **sight,
+                    **log_fields,
                 )
                 changed = True
         evacuations = views.apply_evacuations(now)
         for data_centre in evacuations.begun:
-            _log.warning("data centre evacuated", data_centre=data_centre, **sight)
+            _log.warning("data centre evacuated", data_centre=data_centre, **log_fields)
             changed = True
         for data_centre in evacuations.ended:
-            _log.warning("evacuation over", data_centre=data_centre, **sight)
+            _log.warning("evacuation over", data_centre=data_centre, **log_fields)
             changed = True
         if changed:
             self._behind_since = None
--- a/packages/node/src/fielddrift_node/serving/rollout_runner.py
+++ b/packages/node/src/fielddrift_node/serving/rollout_runner.py
@@ -1,4 +1,4 @@
-"""Bring engines to the weights that operators named."""
+"""Roll out the weights that operators named to the engines."""
 
 from __future__ import annotations
 
@@ -21,40 +21,40 @@
 
 __all__ = ["RolloutRunner"]
 
-_LOOK_SECONDS = 0.1
-_STANDBY_LOOK_SECONDS = 0.5
-"""Between looks of a node that stands by: it waits for seconds for others anyway."""
-_STAND_IN_SECONDS = 2.5
-"""How long each node in line waits for those before it to do the work."""
-_MOST_BEFORE_STANDBY = 2
-"""Active nodes for which one that stands by waits: each is given `_STAND_IN_SECONDS`,
-and new weights have some ten seconds."""
-_ANNOUNCED_SECONDS = 1.0
-"""How long an announcement that an engine loads is believed without another."""
-_ANNOUNCE_LEAD = 0.03
-"""Between announcing and ordering: a datagram crosses data centres in some ms."""
-_REPORT_SECONDS = 0.2
-"""Between reports; what a report says is some hundred ms old."""
-_LOAD_SECONDS = 6.0
-"""How long an engine may take before it is ordered anew: a load takes about a
-second, and runs under way end first."""
-_UNTAKEN_SECONDS = 0.8
-"""How long an order that was not answered may stay invisible in reports."""
-_LATE_PART = 0.7
-"""Part of the time for new weights after which an engine loads however many others
-do: a last resort, for those that are left then carry all the work meanwhile."""
+_CHECK_SECONDS = 0.1
+_STANDBY_CHECK_SECONDS = 0.5
+"""Interval between checks of a standby node, which waits some seconds for others anyway."""
+_TAKEOVER_SECONDS = 2.5
+"""How long a node waits for each node before it in the takeover order to do the work."""
+_MAX_ACTIVE_BEFORE_STANDBY_COUNT = 2
+"""Number of active nodes that a standby node waits for. Each is given `_TAKEOVER_SECONDS`, and new
+weights must be loaded within about 10 s."""
+_ANNOUNCEMENT_SECONDS = 1.0
+"""Validity of an announcement that an engine is loading, unless it is renewed."""
+_ANNOUNCEMENT_LEAD_SECONDS = 0.03
+"""Delay between announcement and order; a datagram reaches another data centre within some ms."""
+_REPORT_INTERVAL_SECONDS = 0.2
+"""Interval between reports; a report is some 100 ms old when it is read."""
+_LOAD_TIMEOUT_SECONDS = 6.0
+"""How long an engine may take before it is ordered again. A load takes about 1 s, after the runs in
+progress have ended."""
+_UNCONFIRMED_ORDER_SECONDS = 0.8
+"""How long an unanswered order may not yet be visible in reports."""
+_FORCED_LOAD_FRACTION = 0.7
+"""Fraction of the time allowed for new weights after which an engine loads even if many others are
+loading. This is a last resort, as the remaining engines carry the full load meanwhile."""
 
 _log = structlog.get_logger()
 
 
-class _Work(NamedTuple):
+class _ModelRollout(NamedTuple):
     model: str
     wanted: int
     engines: tuple[EngineWeights, ...]
 
 
 class RolloutRunner:
-    """Order loads while this node has the duty; one node at a time has it."""
+    """Orders engines to load new weights while this node holds the lease of the duty."""
 
     def __init__(
         self,
@@ -74,66 +74,69 @@
         self._neighbours = neighbours
         self._targets = targets
         self._notices = notices
-        self._duty = duty
+        self._lease = duty
         self._named_rows = named_rows
         self._weights_seconds = weights_seconds
         self._announce = announce
-        self._under_way: dict[str, asyncio.Task[None]] = {}
-        self._since: float | None = None
+        self._tasks: dict[str, asyncio.Task[None]] = {}
+        self._work_since: float | None = None
         self._leaving = False
 
     async def run(self) -> None:
-        """Look for work until cancelled."""
+        """Check for engines with old weights, until cancelled."""
         try:
             while True:
-                await asyncio.sleep(self._rest())
+                await asyncio.sleep(self._check_delay())
                 try:
-                    await self._turn()
+                    await self._check()
                 except RemoteCallError as error:
                     _log.warning("duty not taken", error=str(error))
-                    await asyncio.sleep(_LOOK_SECONDS * 3)
+                    await asyncio.sleep(_CHECK_SECONDS * 3)
         finally:
-            for task in self._under_way.values():
+            for task in self._tasks.values():
                 task.cancel()
 
-    def _rest(self) -> float:
-        """Return the seconds until the next look; a node that stands by is in no hurry."""
+    def _check_delay(self) -> float:
+        """Return the seconds until the next check, which are longer for a standby node."""
         now = asyncio.get_running_loop().time()
-        busy = self._duty.held() or self._neighbours.is_active(now)
-        return _LOOK_SECONDS if busy else _STANDBY_LOOK_SECONDS
+        busy = self._lease.held() or self._neighbours.is_active(now)
+        return _CHECK_SECONDS if busy else _STANDBY_CHECK_SECONDS
 
     async def stop(self) -> None:
-        """Begin no more work, and give the duty back."""
+        """Start no more loads, and release the lease."""
         self._leaving = True
-        for task in self._under_way.values():
+        for task in self._tasks.values():
             task.cancel()
-        await self._duty.release()
+        await self._lease.release()
 
-    async def _turn(self) -> None:
-        work = [] if self._leaving else self._work()
+    async def _check(self) -> None:
+        work = [] if self._leaving else self._find_work()
         now = asyncio.get_running_loop().time()
         if not work:
-            self._since = None
-            if self._duty.held() and not self._under_way:
-                await self._duty.release()
+            self._work_since = None
+            if self._lease.held() and not self._tasks:
+                await self._lease.release()
             return
-        if self._since is None:
-            self._since = now
-        if not self._duty.held() and now - self._since < self._place() * _STAND_IN_SECONDS:
+        if self._work_since is None:
+            self._work_since = now
+        if (
+            not self._lease.held()
+            and now - self._work_since < self._takeover_position() * _TAKEOVER_SECONDS
+        ):
             return
-        if await self._duty.acquire():
+        if await self._lease.acquire():
             for item in work:
-                self._begin(item, now)
-        # Without the duty too: a last holder's turn may take seconds, and until it is
-        # over only living nodes would know since when weights are outdated.
+                self._start_loads(item, now)
+        # Saved even without the lease: its takeover may take seconds, during which only the live
+        # nodes would know since when weights are outdated.
         for item in work:
             await self._named_rows.save(item.model)
 
-    def _place(self) -> int:
-        """Return this node's place in the line of those that may do the work.
+    def _takeover_position(self) -> int:
+        """Return this node's position in the takeover order.
 
-        The active nodes come first, in one line for all data centres; a node that
-        stands by hears little of the others, so it counts those of its own only.
+        Active nodes of all data centres come first. A standby node receives few heartbeats of other
+        data centres, so it counts only the standby nodes of its own.
         """
         now = asyncio.get_running_loop().time()
         me = self._neighbours.me.name
@@ -141,9 +144,9 @@
         if self._neighbours.is_active(now):
             return sum(name < me for name in active)
         before = sum(n.name < me and n.name not in active for n in self._neighbours.nearby(now))
-        return min(len(active), _MOST_BEFORE_STANDBY) + before
+        return min(len(active), _MAX_ACTIVE_BEFORE_STANDBY_COUNT) + before
 
-    def _work(self) -> list[_Work]:
+    def _find_work(self) -> list[_ModelRollout]:
         views = self._views
         if views.catalog is None or views.stale.is_set():
             return []
@@ -154,42 +157,43 @@
             for model in service.engine.models:
                 wanted = views.named.get(model, 0)
                 registry = self._views.registry
-                # Evacuated engines carry nothing, so their loads wait for nobody else's.
+                # Engines in evacuated data centres serve nothing, so their loads need not wait for
+                # others.
                 for group in (registry.serving(service.name), registry.idle(service.name)):
                     engines = self._engines(group, model, now)
                     if any(engine.weights < wanted for engine in engines):
-                        found.append(_Work(model, wanted, engines))
+                        found.append(_ModelRollout(model, wanted, engines))
         return found
 
     def _engines(self, group: list[Instance], model: str, now: float) -> tuple[EngineWeights, ...]:
-        """Return the engines among `group`; those load that are ordered to, here.
+        """Return the engines in `group`, with `loading` set for those this node is rolling out to.
 
-        Those that want nothing from this node are left out: another one may order them.
+        Engines that asked this node to pause are left out; another node may order them.
         """
         return tuple(
-            engine._replace(loading=engine.name in self._under_way)
+            engine._replace(loading=engine.name in self._tasks)
             for engine in self._views.with_weights(group, model, now)
             if not self._views.pauses.left(engine.name, now)
         )
 
-    def _begin(self, work: _Work, now: float) -> None:
-        longest = _LATE_PART * self._weights_seconds
-        for name in next_loads(work.engines, wanted=work.wanted, max_outdated=longest):
-            task = asyncio.ensure_future(self._bring(name, work.model, work.wanted))
-            self._under_way[name] = task
-            task.add_done_callback(partial(self._ended, name))
+    def _start_loads(self, work: _ModelRollout, now: float) -> None:
+        max_outdated = _FORCED_LOAD_FRACTION * self._weights_seconds
+        for name in next_loads(work.engines, wanted=work.wanted, max_outdated=max_outdated):
+            task = asyncio.ensure_future(self._roll_out(name, work.model, work.wanted))
+            self._tasks[name] = task
+            task.add_done_callback(partial(self._on_done, name))
 
-    def _ended(self, name: str, task: asyncio.Task[None]) -> None:
-        self._under_way.pop(name, None)
+    def _on_done(self, name: str, task: asyncio.Task[None]) -> None:
+        self._tasks.pop(name, None)
         if not task.cancelled() and task.exception() is not None:
             _log.error("load failed", target=name, error=repr(task.exception()))
 
     # --- one engine -----------------------------------------------------------
 
-    async def _bring(self, name: str, model: str, wanted: int) -> None:
-        """Order one engine to load `wanted`, and see that it does."""
+    async def _roll_out(self, name: str, model: str, wanted: int) -> None:
+        """Order one engine to load the weights `wanted`, and wait until it has them."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + _LOAD_SECONDS
+        until = loop.time() + _LOAD_TIMEOUT_SECONDS
         orders: int | None = None
         ordered_at = float("-inf")
         while loop.time() < until:
@@ -199,27 +203,27 @@
             if self._views.named.get(model, 0) != wanted:
                 return
             if self._views.pauses.left(name, loop.time()):
-                await asyncio.sleep(_REPORT_SECONDS)
+                await asyncio.sleep(_REPORT_INTERVAL_SECONDS)
                 continue
-            self._views.loading.record_own(name, loop.time() + _ANNOUNCED_SECONDS)
+            self._views.loading.record_own(name, loop.time() + _ANNOUNCEMENT_SECONDS)
             self._announce()
-            await asyncio.sleep(_ANNOUNCE_LEAD)
-            report = await self._report(name)
+            await asyncio.sleep(_ANNOUNCEMENT_LEAD_SECONDS)
+            report = await self._get_report(name)
             if report is not None and report.versions.get(model, 0) >= wanted:
-                self._arrived(name, model, report.versions[model])
+                self._record_loaded(name, model, report.versions[model])
                 return
             if report is not None:
                 orders = report.orders
             idle = report is None or not report.busy
-            if idle and loop.time() - ordered_at > _UNTAKEN_SECONDS:
-                if not self._duty.held():
+            if idle and loop.time() - ordered_at > _UNCONFIRMED_ORDER_SECONDS:
+                if not self._lease.held():
                     return
                 ordered_at = loop.time()
-                await self._order(name, model, wanted, orders)
-            await asyncio.sleep(_REPORT_SECONDS)
+                await self._send_order(name, model, wanted, orders)
+            await asyncio.sleep(_REPORT_INTERVAL_SECONDS)
         _log.warning("weights not loaded", target=name, model=model, version=wanted)
 
-    async def _report(self, name: str) -> EngineReport | None:
+    async def _get_report(self, name: str) -> EngineReport | None:
         instance = self._views.registry.get(name)
         if instance is None:
             return None
@@ -235,13 +239,13 @@
             self._views.record_weights(name, model, version)
         return report
 
-    async def _order(self, name: str, model: str, wanted: int, orders: int | None) -> None:
+    async def _send_order(self, name: str, model: str, wanted: int, orders: int | None) -> None:
         instance = self._views.registry.get(name)
         if instance is None:
             return
-        # Work for the engine as well, where it takes only so many requests a second.
+        # The order counts against the engine's request rate limit as well.
         self._views.limits.sent(name, asyncio.get_running_loop().time())
-        order = WeightsOrder(instance, model, wanted, self._duty.holder, self._duty.fence, orders)
+        order = WeightsOrder(instance, model, wanted, self._lease.holder, self._lease.fence, orders)
         try:
             outcome = await self._targets.order(order)
         except RemoteCallError as error:
@@ -261,7 +265,7 @@
             detail=outcome.detail,
         )
 
-    def _arrived(self, name: str, model: str, version: int) -> None:
+    def _record_loaded(self, name: str, model: str, version: int) -> None:
         self._views.record_weights(name, model, version)
         self._views.loading.ended(name)
         _log.info("weights loaded", target=name, model=model, version=version)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -202,7 +202,7 @@
         feed = node.node._operators
         with mock.patch.object(Feed, "reader", return_value=None):
             before = feed._after
-            feed._take_copy(OperatorCopy(None, {}, (before or 0) + 1000), "former")
+            feed._apply_copy(OperatorCopy(None, {}, (before or 0) + 1000), "former")
             self.assertEqual(feed._after, before)
             self.fleet.evacuate("a")
             await self.known(node, "a")
--- a/tests/test_operator_feed.py
+++ b/tests/test_operator_feed.py
@@ -216,21 +216,21 @@
 
     async def test_a_plain_reading_is_not_called_off_to_hurry_it(self) -> None:
         for _ in range(10):
-            self.feed.hurry()
+            self.feed.restart_poll()
             await self._turns(SLOW_TURNS // 2)
         self.assertGreater(self.platform.ended, 0)
 
     async def test_a_long_poll_is_called_off_for_a_plain_reading(self) -> None:
         await self._turns(4 * SLOW_TURNS)
         self.assertEqual(self.platform.ended, 1)
-        self.feed.hurry()
+        self.feed.restart_poll()
         await self._turns(4 * SLOW_TURNS)
         self.assertEqual(self.platform.ended, 2)
 
     async def test_after_a_pause_a_plain_reading_from_before_does_not_count(self) -> None:
         await self._turns(SLOW_TURNS - 4)
         self.views.stale.set()
-        self.feed.again()
+        self.feed.read_now()
         await self._turns(SLOW_TURNS - 4)
         self.assertEqual((self.platform.ended, self.views.stale.is_set()), (0, True))
         await self._turns(2 * SLOW_TURNS)
--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -427,7 +427,7 @@
             entry_ended(target, now)
             held.append("w2" in registry.lapsed(now))
 
-        with mock.patch.object(registry, "gone", note_end):
+        with mock.patch.object(registry, "entry_ended", note_end):
             self.fleet.store.drop("servers", "w2")
             await eventually(lambda: registry.get("w2") is None)
         # The reading that found it gone ended it, however long that reading took to come.
