--- a/packages/node/src/fielddrift_node/filters/__init__.py
+++ b/packages/node/src/fielddrift_node/filters/__init__.py
@@ -1,6 +1,6 @@
-"""Take a request from its arrival to its answer, one step a module.
+"""The filters that process a request from its arrival to its answer, one a module.
 
-The two lists show the steps in their order.
+`COMPLETION` and `SERVICE` list them in the order in which they run.
 """
 
 from __future__ import annotations
--- a/packages/node/src/fielddrift_node/filters/admit.py
+++ b/packages/node/src/fielddrift_node/filters/admit.py
@@ -1,4 +1,4 @@
-"""Decide whether the request is taken, by estimate and fair share."""
+"""Choose a target for a completion, and admit the request by its estimate and quota."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ..exchange import Exchange
 from ..tickets import TICKET_HEADER
 
-__all__ = ["admit", "allows", "choose", "no_target"]
+__all__ = ["admit", "choose_target", "is_available", "no_target_refusal"]
 
-_RETRY_AFTER = 0.5
+_MIN_RETRY_AFTER_SECONDS = 0.5
 
 
-def allows(exchange: Exchange, target: Target) -> bool:
-    """Return whether a pinned target may get this request now.
+def is_available(exchange: Exchange, target: Target) -> bool:
+    """Return whether the request may be sent to a target of its pinned configuration now.
 
-    The first sign of leaving counts, whoever gave it: the operators, the host
-    list, a peer or the target itself.
+    A target that leaves gets no request as soon as one source reports it: the
+    operators, the host list, a peer or the target itself.
     """
     runtime = exchange.runtime
     if target.draining or target.name in exchange.failed or runtime.leaving(target.name):
@@ -28,30 +28,33 @@
     return runtime.board.takes(target, exchange.deployment.version)
 
 
-def choose(exchange: Exchange) -> Choice | None:
-    """Return the target and source for the next try, or None."""
+def choose_target(exchange: Exchange) -> Choice | None:
+    """Return the target and the source of the context for the next attempt, or None.
+
+    It is None if no target is available.
+    """
     assert exchange.need is not None
     runtime = exchange.runtime
     warm = runtime.board.warm(exchange.digests)
-    known = exchange.configuration.targets
-    drawn = sample_targets(
+    configured = exchange.configuration.targets
+    sampled = sample_targets(
         exchange.targets,
-        warm=[known[name] for name in warm if name in known],
-        allowed=lambda target: allows(exchange, target),
+        warm=[configured[name] for name in warm if name in configured],
+        allowed=lambda target: is_available(exchange, target),
         sample=runtime.policy.sample,
         rng=runtime.rng,
     )
-    views = runtime.board.views(drawn, warm)
+    views = runtime.board.views(sampled, warm)
     return runtime.policy.choose(exchange.need, views, runtime.rng)
 
 
 def admit(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Refuse at once what the deadline or the customer's share forbids."""
+    """Choose a target, and refuse a request that would miss its deadline or exceed its quota."""
     assert exchange.need is not None
     runtime = exchange.runtime
-    choice = choose(exchange)
+    choice = choose_target(exchange)
     if choice is None:
-        return Err(no_target(exchange))
+        return Err(no_target_refusal(exchange))
     with runtime.admission_lock:
         refusal = runtime.admission.check(
             customer=exchange.customer.name,
@@ -70,10 +73,13 @@
     return Err(refusal) if refusal else Ok(exchange)
 
 
-def no_target(exchange: Exchange, ran: Ran = Ran.NO) -> Refusal:
-    """Return the refusal for a request that no target can take now."""
+def no_target_refusal(exchange: Exchange, ran: Ran = Ran.NO) -> Refusal:
+    """Return the refusal of a request for which no target is available now.
+
+    The caller may retry once the first of the paused targets is over its pause.
+    """
     what = exchange.deployment.model or (exchange.call.service if exchange.call else "")
     version = f" version {exchange.deployment.version}" if exchange.deployment.version else ""
     detail = f"{what}{version}: none of {len(exchange.targets)} targets can take it now"
     paused = exchange.runtime.board.soonest(exchange.targets)
-    return Refusal(ErrorKind.NO_TARGET, detail, ran, max(_RETRY_AFTER, paused))
+    return Refusal(ErrorKind.NO_TARGET, detail, ran, max(_MIN_RETRY_AFTER_SECONDS, paused))
--- a/packages/node/src/fielddrift_node/filters/call.py
+++ b/packages/node/src/fielddrift_node/filters/call.py
@@ -1,4 +1,4 @@
-"""Call a plain service, again only where that is surely allowed."""
+"""Call a plain service, and repeat the call only where that is safe."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from ..http_client import Call, Reply
 from ..settle import TryFailed, begin, settle_refused
 from ..targets import pause_seconds, proved_not_started
-from .admit import allows, no_target
+from .admit import is_available, no_target_refusal
 
 __all__ = ["call_service"]
 
-_TRIES = 3
+_MAX_ATTEMPTS = 3
 
 
 def call_service(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Set the service's answer; every refusal says whether the call ran."""
+    """Set the service's answer, or return a refusal that states whether the call ran."""
     runtime = exchange.runtime
     if refusal := begin(exchange):
         return Err(refusal)
-    outcome = _try_all(exchange)
+    outcome = _call_with_retries(exchange)
     if isinstance(outcome, Refusal):
         settle_refused(exchange, outcome)
         return Err(outcome)
@@ -42,48 +42,49 @@
     return Ok(exchange)
 
 
-def _try_all(exchange: Exchange) -> Reply | Refusal:
+def _call_with_retries(exchange: Exchange) -> Reply | Refusal:
     runtime = exchange.runtime
-    sure = True
+    not_executed = True
     last = ""
-    for attempt in range(1, _TRIES + 1):
-        target = _choose(exchange)
+    for attempt in range(1, _MAX_ATTEMPTS + 1):
+        target = _choose_target(exchange)
         if target is None:
-            return no_target(exchange, Ran.NO if sure else Ran.UNKNOWN)
-        # A try of it, here or at another node, may have ended its third target meanwhile.
-        if held := exchange.held_back(sending=True, sure=sure):
+            return no_target_refusal(exchange, Ran.NO if not_executed else Ran.UNKNOWN)
+        # Since the first check another attempt, here or at another node, may have crashed the
+        # third target.
+        if held := exchange.held_back(sending=True, sure=not_executed):
             return held
         try:
-            return _try_one(exchange, target)
+            return _send_once(exchange, target)
         except TryFailed as failure:
             last = str(failure)
-            sure = sure and failure.sure
+            not_executed = not_executed and failure.sure
             exchange.failed.add(target.name)
             wait = backoff(attempt, rng=runtime.rng, left=exchange.left)
             allowed = failure.sure or exchange.repeatable
             if not allowed or wait is None or not runtime.board.may_retry(target.name):
-                return _failed(str(failure), sure)
+                return _failure_refusal(str(failure), not_executed)
             runtime.metrics.add(f"retried.{failure.reason}")
             time.sleep(wait)
-    return _failed(f"{_TRIES} tries failed; the last: {last}", sure)
+    return _failure_refusal(f"{_MAX_ATTEMPTS} tries failed; the last: {last}", not_executed)
 
 
-def _choose(exchange: Exchange) -> Target | None:
+def _choose_target(exchange: Exchange) -> Target | None:
     views = exchange.runtime.board.views(
-        [target for target in exchange.targets if allows(exchange, target)], {}
+        [target for target in exchange.targets if is_available(exchange, target)], {}
     )
     if not views:
         return None
-    least = min(view.sent for view in views)
-    return exchange.runtime.rng.choice([v.target for v in views if v.sent == least])
+    min_sent = min(view.sent for view in views)
+    return exchange.runtime.rng.choice([v.target for v in views if v.sent == min_sent])
 
 
-def _try_one(exchange: Exchange, target: Target) -> Reply:
+def _send_once(exchange: Exchange, target: Target) -> Reply:
     runtime = exchange.runtime
     runtime.board.sent(target.name, exchange.request_id, 0)
     exchange.begin_send(target)
     try:
-        reply = runtime.targets.call(target, _call(exchange, target))
+        reply = runtime.targets.call(target, _build_call(exchange, target))
     except ExternalSystemError as error:
         runtime.board.failed(target.name)
         exchange.broke_off(target, error)
@@ -101,25 +102,25 @@
     return reply
 
 
-def _call(exchange: Exchange, target: Target) -> Call:
-    ask = exchange.call
-    assert ask is not None
-    url = f"http://{target.address}/call/{ask.path}"
+def _build_call(exchange: Exchange, target: Target) -> Call:
+    service_call = exchange.call
+    assert service_call is not None
+    url = f"http://{target.address}/call/{service_call.path}"
     headers = {
         "X-Customer": exchange.customer.name,
         "X-Request-Id": exchange.request_id,
-        "Content-Type": ask.content_type or "application/octet-stream",
+        "Content-Type": service_call.content_type or "application/octet-stream",
     }
     if exchange.key:
         headers["Idempotency-Key"] = exchange.key
     return Call(
-        ask.method,
-        f"{url}?{ask.query}" if ask.query else url,
-        ask.body if ask.body or ask.method in ("POST", "PUT") else None,
+        service_call.method,
+        f"{url}?{service_call.query}" if service_call.query else url,
+        service_call.body if service_call.body or service_call.method in ("POST", "PUT") else None,
         headers,
         timeout=max(0.001, exchange.left),
     )
 
 
-def _failed(detail: str, sure: bool) -> Refusal:
-    return Refusal(ErrorKind.TARGET_FAILED, detail, Ran.NO if sure else Ran.UNKNOWN, 0.5)
+def _failure_refusal(detail: str, not_executed: bool) -> Refusal:
+    return Refusal(ErrorKind.TARGET_FAILED, detail, Ran.NO if not_executed else Ran.UNKNOWN, 0.5)
--- a/packages/node/src/fielddrift_node/filters/hold_back.py
+++ b/packages/node/src/fielddrift_node/filters/hold_back.py
@@ -1,4 +1,4 @@
-"""Refuse a request at once that has ended the targets that ran it."""
+"""Refuse a request that is held back because its earlier runs crashed their targets."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 def hold_back(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Refuse what is held back, but a claimed request: its claim may have an answer for it.
+    """Refuse a repeatable request that is held back.
 
-    That one is refused before its first send.
+    A request that may not be repeated passes, since its claim may hold a stored
+    answer; without one it is refused before its first send.
     """
     if not exchange.repeatable:
         return Ok(exchange)
--- a/packages/node/src/fielddrift_node/filters/identify.py
+++ b/packages/node/src/fielddrift_node/filters/identify.py
@@ -1,4 +1,4 @@
-"""Find out whose request it is, by its bearer key."""
+"""Identify the customer of a request by its bearer_key key."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from ..exchange import Exchange
 
-__all__ = ["bearer", "identify"]
+__all__ = ["bearer_key", "identify"]
 
-_SCHEME = "Bearer "
+_SCHEME_PREFIX = "Bearer "
 
 
-def bearer(authorization: str) -> str:
-    """Return the key in an Authorization header, empty when there is none."""
-    return authorization[len(_SCHEME) :] if authorization.startswith(_SCHEME) else ""
+def bearer_key(authorization: str) -> str:
+    """Return the key in the value of an Authorization header, empty if it has no bearer_key key."""
+    return authorization[len(_SCHEME_PREFIX) :] if authorization.startswith(_SCHEME_PREFIX) else ""
 
 
 def identify(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Set the customer that the key belongs to; refuse an unknown key."""
-    key = bearer(exchange.request.headers.get("Authorization", ""))
+    """Set the customer to which the key belongs; refuse a missing or unknown key."""
+    key = bearer_key(exchange.request.headers.get("Authorization", ""))
     if not key:
         detail = "Authorization: missing, expected 'Bearer ' and a customer's key"
         return Err(Refusal(ErrorKind.UNAUTHORIZED, detail))
--- a/packages/node/src/fielddrift_node/filters/locate.py
+++ b/packages/node/src/fielddrift_node/filters/locate.py
@@ -1,4 +1,4 @@
-"""Find the longest kept prefix of a prompt."""
+"""Find the longest stored prefix of a prompt."""
 
 from __future__ import annotations
 
@@ -11,35 +11,36 @@
 from ..exchange import Exchange
 from ..stores import Found
 
-__all__ = ["BYTES_A_TOKEN", "locate"]
+__all__ = ["BYTES_PER_TOKEN", "locate"]
 
-BYTES_A_TOKEN = 4
+BYTES_PER_TOKEN = 4
+"""Estimated length of a token, for counting the tokens of a prompt without its tokenizer."""
 
 
 def locate(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Set the prompt's digests, what is kept of it, and what it needs.
+    """Set the prompt's block digests, its stored prefix and the needs of the request.
 
-    Finding nothing, or not in time, is no failure: the context is recomputed.
+    It never refuses: without a prefix found in time the context is recomputed.
     """
     assert exchange.completion is not None
     runtime = exchange.runtime
     prompt = exchange.completion.prompt.encode()
     exchange.digests = chained_digests(prompt, salt=exchange.customer.salt)
     if exchange.digests and exchange.configuration.stores:
-        began = clock.now()
-        exchange.found = _find(exchange)
-        runtime.metrics.time("locate", clock.now() - began)
+        started_at = clock.now()
+        exchange.found = _find_prefix(exchange)
+        runtime.metrics.time("locate", clock.now() - started_at)
     exchange.need = RequestNeeds(
-        tokens=len(prompt) // BYTES_A_TOKEN,
+        tokens=len(prompt) // BYTES_PER_TOKEN,
         blocks=len(exchange.digests),
         weights=exchange.deployment.weights,
-        kept=_kept(exchange),
+        kept=_stored_prefix(exchange),
         ttft_limit=exchange.left,
     )
     return Ok(exchange)
 
 
-def _find(exchange: Exchange) -> Found | None:
+def _find_prefix(exchange: Exchange) -> Found | None:
     name = prefix_name(
         customer=exchange.customer.name,
         model=exchange.deployment.model,
@@ -50,7 +51,7 @@
     return exchange.runtime.stores.find(exchange.configuration, name, exchange.digests)
 
 
-def _kept(exchange: Exchange) -> KeptPrefix:
+def _stored_prefix(exchange: Exchange) -> KeptPrefix:
     if exchange.found is None:
         return KeptPrefix()
     manifest, store = exchange.found
--- a/packages/node/src/fielddrift_node/filters/pin.py
+++ b/packages/node/src/fielddrift_node/filters/pin.py
@@ -1,7 +1,7 @@
-"""Pin the configuration that a request runs under.
+"""Pin the configuration under which a request runs.
 
-A request keeps the revision, and so the weight version, that was in force
-when it was taken, whatever changes while it runs.
+A request keeps the revision, and so the version of the weights, that was in
+force when it was accepted; later changes do not affect it.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 __all__ = ["pin_completion", "pin_service"]
 
-_RETRY_AFTER = 0.5
+_RETRY_AFTER_SECONDS = 0.5
 
 
 def pin_completion(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Pin the deployment and its targets; refuse an unknown model."""
+    """Pin the deployment of the model and its targets; refuse an unknown model."""
     assert exchange.completion is not None
-    if refusal := _pin(exchange):
+    if refusal := _pin_configuration(exchange):
         return Err(refusal)
     model = exchange.completion.model
     deployment = exchange.configuration.deployments.get(model)
@@ -33,9 +33,12 @@
 
 
 def pin_service(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Pin a service's targets, and whether the call may be repeated."""
+    """Pin the targets of the service and set whether the call may be repeated.
+
+    Refuse an unknown service.
+    """
     assert exchange.call is not None
-    if refusal := _pin(exchange):
+    if refusal := _pin_configuration(exchange):
         return Err(refusal)
     name = exchange.call.service
     exchange.targets = exchange.runtime.config.serving(TargetRole.SERVICE, name)
@@ -46,10 +49,10 @@
     return Ok(exchange)
 
 
-def _pin(exchange: Exchange) -> Refusal | None:
+def _pin_configuration(exchange: Exchange) -> Refusal | None:
     watch = exchange.runtime.watch
     if watch.refusing:
         detail = "this node is stopping; ask GET /v1/entry for another"
-        return Refusal(ErrorKind.STOPPING, detail, Ran.NO, _RETRY_AFTER)
+        return Refusal(ErrorKind.STOPPING, detail, Ran.NO, _RETRY_AFTER_SECONDS)
     exchange.configuration = exchange.runtime.config.current
     return None
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -1,4 +1,4 @@
-"""Start a run on an engine, again elsewhere while nothing was relayed."""
+"""Run a completion on an engine, and retry or resume it on another one."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 from ..started import Started
 from ..targets import EngineHead, RunOrder, pause_seconds, proved_not_started, read_head
 from ..underway import UnderWay
-from .admit import allows, choose, no_target
+from .admit import choose_target, is_available, no_target_refusal
 
 __all__ = ["run_completion"]
 
-_TRIES = 3
-_PATIENCE_FACTOR = 4.0
-_PATIENCE_FLOOR = 2.0
-# An import that takes much longer than estimated is given up and recomputed.
-_IMPORT_FACTOR = 3.0
-_IMPORT_FLOOR = 0.2
+_MAX_ATTEMPTS = 3
+_FIRST_TOKEN_TIMEOUT_FACTOR = 4.0
+_MIN_FIRST_TOKEN_TIMEOUT_SECONDS = 2.0
+# An import that exceeds its timeout is abandoned, and the context is recomputed.
+_IMPORT_TIMEOUT_FACTOR = 3.0
+_IMPORT_TIMEOUT_BASE_SECONDS = 0.2
 
 
-class _Tried(NamedTuple):
+class _StartResult(NamedTuple):
     started: Started | None
     refusal: Refusal | None = None
 
 
 def run_completion(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Set the answer: a stream being relayed, or the whole text."""
+    """Set the answer: a relayed stream, or the whole text."""
     assert exchange.completion is not None
     if refusal := begin(exchange):
         return Err(refusal)
-    tried = _start(exchange, resume_at=1)
-    if tried.started is None:
-        assert tried.refusal is not None
-        settle_refused(exchange, tried.refusal)
-        return Err(tried.refusal)
-    relay = Relay(exchange=exchange, started=tried.started, resume=_resume)
+    start_result = _start_with_retries(exchange, resume_at=1)
+    if start_result.started is None:
+        assert start_result.refusal is not None
+        settle_refused(exchange, start_result.refusal)
+        return Err(start_result.refusal)
+    relay = Relay(exchange=exchange, started=start_result.started, resume=_resume)
     if exchange.completion.stream:
         exchange.answer = Answer(200, "text/event-stream", relay, relay.headers)
         return Ok(exchange)
@@ -59,29 +59,35 @@
 
 
 def _resume(exchange: Exchange, resume_at: int) -> Started | None:
-    """Start the run again at its next event, on another target; None when it cannot be."""
+    """Restart the run at event `resume_at` on another target.
+
+    Return None if the request may not be repeated or no target can start it.
+    """
     if not exchange.repeatable:
         return None
-    started = _start(exchange, resume_at=resume_at).started
+    started = _start_with_retries(exchange, resume_at=resume_at).started
     if started is not None:
         exchange.runtime.metrics.add("retried.resume")
     return started
 
 
-def _start(exchange: Exchange, *, resume_at: int) -> _Tried:
+def _start_with_retries(exchange: Exchange, *, resume_at: int) -> _StartResult:
     runtime = exchange.runtime
-    sure = True
+    not_executed = True
     last = ""
-    for attempt in range(1, _TRIES + 1):
-        choice = exchange.choice or choose(exchange)
+    for attempt in range(1, _MAX_ATTEMPTS + 1):
+        choice = exchange.choice or choose_target(exchange)
         exchange.choice = None
         if choice is None:
-            return _Tried(None, no_target(exchange, Ran.NO if sure else Ran.UNKNOWN))
-        # A try of it, here or at another node, may have ended its third target meanwhile.
-        if held := exchange.held_back(sending=True, sure=sure):
-            return _Tried(None, held)
+            return _StartResult(
+                None, no_target_refusal(exchange, Ran.NO if not_executed else Ran.UNKNOWN)
+            )
+        # Since the first check another attempt, here or at another node, may have crashed the
+        # third target.
+        if held := exchange.held_back(sending=True, sure=not_executed):
+            return _StartResult(None, held)
         try:
-            return _Tried(_try_one(exchange, choice, f"{attempt}", resume_at))
+            return _StartResult(_start_once(exchange, choice, f"{attempt}", resume_at))
         except TryFailed as failure:
             last = str(failure)
             get().info(
@@ -93,25 +99,28 @@
                 not_run=failure.sure,
                 after=resume_at - 1,
             )
-            sure = sure and failure.sure
+            not_executed = not_executed and failure.sure
             exchange.failed.add(choice.target.name)
             wait = backoff(attempt, rng=runtime.rng, left=exchange.left)
             allowed = failure.sure or exchange.repeatable
             if not allowed or wait is None or not runtime.board.may_retry(choice.target.name):
-                return _Tried(None, _refusal(exchange, str(failure), sure))
+                return _StartResult(None, _failure_refusal(exchange, str(failure), not_executed))
             runtime.metrics.add(f"retried.{failure.reason}")
             time.sleep(wait)
-    return _Tried(None, _refusal(exchange, f"{_TRIES} tries failed; the last: {last}", sure))
+    return _StartResult(
+        None,
+        _failure_refusal(exchange, f"{_MAX_ATTEMPTS} tries failed; the last: {last}", not_executed),
+    )
 
 
-def _try_one(exchange: Exchange, choice: Choice, attempt: str, resume_at: int) -> Started:
+def _start_once(exchange: Exchange, choice: Choice, attempt: str, resume_at: int) -> Started:
     runtime = exchange.runtime
-    order = _order(exchange, choice, attempt, resume_at)
+    order = _build_order(exchange, choice, attempt, resume_at)
     assert exchange.need is not None
     computed = int(exchange.need.tokens * choice.recomputed)
     runtime.board.sent(choice.target.name, order.run, computed)
     exchange.begin_send(choice.target)
-    stream = runtime.targets.run(choice.target, order, timeout=_run_seconds(exchange))
+    stream = runtime.targets.run(choice.target, order, timeout=_run_timeout(exchange))
     under_way = UnderWay.begin(exchange, choice, order)
     try:
         head = _await_head(exchange, choice, order, stream)
@@ -127,11 +136,14 @@
 
 
 def _await_head(exchange: Exchange, choice: Choice, order: RunOrder, stream: Stream) -> EngineHead:
-    """Return the head once it came and matches the order."""
+    """Return the head of the answer, after checking that it matches the order.
+
+    Raise `TryFailed` if it does not arrive in time or does not match.
+    """
     runtime = exchange.runtime
     name = choice.target.name
     try:
-        head = stream.head.result(timeout=max(0.001, _patience(exchange, choice)))
+        head = stream.head.result(timeout=max(0.001, _first_token_timeout(exchange, choice)))
     except FutureTimeout:
         runtime.board.failed(name)
         raise TryFailed(f"target {name}: no first token", "cut-before-head", sure=False) from None
@@ -151,16 +163,21 @@
     return _check_head(exchange, choice, order, stream)
 
 
-def _patience(exchange: Exchange, choice: Choice) -> float:
-    """Return the seconds to wait for a first token before another target is tried.
+def _first_token_timeout(exchange: Exchange, choice: Choice) -> float:
+    """Return the seconds to wait for the first token before trying another target.
 
-    Where there is no other, or the run may not be repeated, giving up early
-    would gain nothing.
+    It is the time left to the deadline if there is no other target or the run may
+    not be repeated, since a shorter wait would gain nothing.
     """
-    others = (t for t in exchange.targets if t.name != choice.target.name)
-    if not exchange.repeatable or not any(allows(exchange, target) for target in others):
+    other_targets = (t for t in exchange.targets if t.name != choice.target.name)
+    if not exchange.repeatable or not any(
+        is_available(exchange, target) for target in other_targets
+    ):
         return exchange.left
-    return min(exchange.left, max(_PATIENCE_FLOOR, _PATIENCE_FACTOR * choice.ttft))
+    return min(
+        exchange.left,
+        max(_MIN_FIRST_TOKEN_TIMEOUT_SECONDS, _FIRST_TOKEN_TIMEOUT_FACTOR * choice.ttft),
+    )
 
 
 def _check_head(exchange: Exchange, choice: Choice, order: RunOrder, stream: Stream) -> EngineHead:
@@ -168,7 +185,7 @@
     try:
         head = read_head(stream.head.result())
     except ExternalSystemError as error:
-        # The breaker takes a probe for under way until it hears how it ended.
+        # The circuit breaker counts a probe as in flight until its outcome is recorded.
         exchange.runtime.board.failed(name)
         raise TryFailed(f"target {name}: {error}", "wrong-head", sure=False) from None
     if (head.version, head.customer) != (order.version, order.customer):
@@ -179,9 +196,9 @@
     return head
 
 
-def _order(exchange: Exchange, choice: Choice, attempt: str, resume_at: int) -> RunOrder:
-    ask = exchange.completion
-    assert ask is not None and exchange.need is not None
+def _build_order(exchange: Exchange, choice: Choice, attempt: str, resume_at: int) -> RunOrder:
+    completion = exchange.completion
+    assert completion is not None and exchange.need is not None
     context = None
     if choice.source is Source.IMPORT and exchange.found is not None:
         manifest, store = exchange.found
@@ -189,27 +206,28 @@
             "store": store.address,
             "blocks": manifest.blocks,
             "parts": manifest.parts,
-            "seconds": _IMPORT_FLOOR + _IMPORT_FACTOR * exchange.need.kept.seconds,
+            "seconds": _IMPORT_TIMEOUT_BASE_SECONDS
+            + _IMPORT_TIMEOUT_FACTOR * exchange.need.kept.seconds,
         }
     return RunOrder(
         run=f"{exchange.request_id}.{resume_at}.{attempt}",
         customer=exchange.customer.name,
-        model=ask.model,
+        model=completion.model,
         version=exchange.deployment.version,
         salt=exchange.customer.salt,
-        prompt=ask.prompt,
-        max_tokens=ask.max_tokens,
-        priority=ask.priority,
+        prompt=completion.prompt,
+        max_tokens=completion.max_tokens,
+        priority=completion.priority,
         resume_at=resume_at,
         context=context,
     )
 
 
-def _run_seconds(exchange: Exchange) -> float:
-    # The deadline is for the first token; a run may go on for much longer.
+def _run_timeout(exchange: Exchange) -> float:
+    # The deadline applies to the first token; a run may take much longer.
     return exchange.left + 600.0
 
 
-def _refusal(exchange: Exchange, detail: str, sure: bool) -> Refusal:
+def _failure_refusal(exchange: Exchange, detail: str, not_executed: bool) -> Refusal:
     kind = ErrorKind.DEADLINE if exchange.left <= 0 else ErrorKind.TARGET_FAILED
-    return Refusal(kind, detail, Ran.NO if sure else Ran.UNKNOWN, 0.5)
+    return Refusal(kind, detail, Ran.NO if not_executed else Ran.UNKNOWN, 0.5)
--- a/packages/node/src/fielddrift_node/operators.py
+++ b/packages/node/src/fielddrift_node/operators.py
@@ -18,7 +18,7 @@
 
 from . import clock
 from .configuration import Accepted
-from .filters.identify import bearer
+from .filters.identify import bearer_key
 from .queries import Nodes, answer
 from .runtime import Runtime
 
@@ -46,7 +46,7 @@
 
     def run(self, authorization: str, raw: bytes) -> dict[str, Any] | Refusal:
         """Return the statement's answer, or why there is none."""
-        operator = self._operator(bearer(authorization))
+        operator = self._operator(bearer_key(authorization))
         if operator is None:
             return Refusal(ErrorKind.UNAUTHORIZED, "Authorization: not the key of an operator")
         try:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -187,7 +187,7 @@
         self.exchange.runtime.rng = random.Random(1)
         self.exchange.held_back.return_value = None
         failure = TryFailed("e1: refused", "connect", sure=True)
-        with mock.patch.object(run, "_try_one", side_effect=failure), capture_logs() as lines:
+        with mock.patch.object(run, "_start_once", side_effect=failure), capture_logs() as lines:
             run._resume(self.exchange, 3)
         expected = {
             "event": "send failed", "log_level": "info", "request": "r1", "target": "e1",
