--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""What a datagram tells is taken whole, or not at all."""
+"""A heartbeat is applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class TestFormerLife(unittest.IsolatedAsyncioTestCase):
-    """A late heartbeat of a former life is not taken into the views.
+    """A late heartbeat of a former process instance is not applied to the views.
 
-    Symptom: none was seen.  Sequence: a node is killed and starts again, and a datagram of
-    its former life comes after the first of the new one.  Cause: the neighbours dropped it,
-    but its sends, leaving targets and loads were still taken from it.
+    A failure that was not observed: a node is killed and restarted, and a datagram of its former
+    instance arrives after the first one of the new instance. The neighbours ignored it, but its
+    sends, leaving targets and loads were still applied.
     """
 
     async def test_nothing_that_it_tells_is_taken(self) -> None:
@@ -29,8 +29,8 @@
             heard=lambda heartbeat: heard.append(heartbeat.node.boot),
         )
         for node in (neighbour("n1", 9), neighbour("n1", 7), neighbour("me", 0)):
-            told = Heartbeat(node, True, False, 1, {}, {})
-            gossip.datagram_received(msgspec.msgpack.encode(told), ("127.0.0.1", 1))
+            former = Heartbeat(node, True, False, 1, {}, {})
+            gossip.datagram_received(msgspec.msgpack.encode(former), ("127.0.0.1", 1))
         self.assertEqual(heard, [9])
 
     def _heartbeat(self, standing: Relation) -> Heartbeat:
--- a/tests/test_named_rows.py
+++ b/tests/test_named_rows.py
@@ -106,7 +106,7 @@
         self.rows.schedule_save()
         return asyncio.ensure_future(self.rows.load())
 
-    def outdated_seconds(self, weights: int) -> float:
+    def outdated(self, weights: int) -> float:
         return self.views.outdated_seconds("m", weights, _now())
 
 
@@ -122,8 +122,8 @@
         await first.rows.save("m")
         second.receive(2)
         await second.start_loading()
-        self.assertGreaterEqual(second.outdated_seconds(1), 5.0)
-        self.assertLess(second.outdated_seconds(1), 5.01)
+        self.assertGreaterEqual(second.outdated(1), 5.0)
+        self.assertLess(second.outdated(1), 5.01)
 
     @in_virtual_time
     async def test_a_version_is_written_once_and_a_start_reads_once(self) -> None:
@@ -165,8 +165,8 @@
         node = Node(self.table)
         node.receive(2)
         await node.start_loading()
-        self.assertGreaterEqual(node.outdated_seconds(1), 2.5)
-        self.assertLess(node.outdated_seconds(1), 2.51)
+        self.assertGreaterEqual(node.outdated(1), 2.5)
+        self.assertLess(node.outdated(1), 2.51)
 
     @in_virtual_time
     async def test_a_saving_that_fails_is_repeated(self) -> None:
@@ -233,10 +233,10 @@
         while self.table.calls.count("read") < 3:
             await asyncio.sleep(0)
             await asyncio.sleep(0.01)
-        self.assertLess(second.outdated_seconds(1), 5.0)
+        self.assertLess(second.outdated(1), 5.0)
         self.table.down = False
         await reading
-        self.assertGreaterEqual(second.outdated_seconds(1), 5.0)
+        self.assertGreaterEqual(second.outdated(1), 5.0)
 
     @in_virtual_time
     async def test_a_row_that_is_not_understood_is_replaced(self) -> None:
@@ -255,7 +255,7 @@
         node = Node(self.table)
         node.receive(2)
         await node.start_loading()
-        self.assertGreaterEqual(node.outdated_seconds(1), 7.0)
+        self.assertGreaterEqual(node.outdated(1), 7.0)
 
     @in_virtual_time
     async def test_a_row_does_not_grow_with_the_versions(self) -> None:
--- a/tests/test_named_rows_drift.py
+++ b/tests/test_named_rows_drift.py
@@ -1,4 +1,4 @@
-"""A naming is saved as of when it was, also by a node that has run for long."""
+"""A node that has run for long saves the right naming times."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 _DAY_SECONDS = 86_400.0
 _CLOCK_FASTER = 50e-6
-"""By which a host's monotonic clock runs faster than the platform's: a usual crystal's error."""
+"""Drift by which a host's monotonic clock is faster than the platform's, typical of a crystal."""
 
 
 class DriftingTable:
-    """The table, whose clock runs slower than the loop's."""
+    """The table, whose clock is slower than the event loop's."""
 
     def __init__(self) -> None:
         self.rows_by_key: dict[str, SavedRow] = {}
@@ -50,13 +50,12 @@
 
 @mock.patch("fielddrift_node.serving.named_rows._log", mock.Mock())
 class TestDrift(unittest.TestCase):
-    """A node that has run for a day names in the table a moment that is yet to come.
+    """A node that has run for a day must not save a naming time that lies in the future.
 
-    Sequence: it reads the table's clock when the first version is named, and counts on
-    from that reading; a day later the next version is named, and its moment is some
-    seconds late.  A node that starts anew counts from then and sends to older weights
-    for so much longer.  Cause: a reading of the clock is used at any age, though what is
-    saved must never be late.
+    Failure: the node reads the table's clock when the first version is named and extrapolates from
+    that reading. A day later it saves a time for the next version that is some seconds late, and a
+    node that starts then uses older weights for that much longer. A saved time must never be late,
+    so a clock reading may be used only up to a maximum age.
     """
 
     def test_a_naming_is_never_saved_as_later_than_it_was(self) -> None:
--- a/tests/test_operator_feed.py
+++ b/tests/test_operator_feed.py
@@ -1,4 +1,4 @@
-"""A node has the operators' rows from whoever is ahead, or by a reading that it lets end."""
+"""Operator feed: copies from any node with newer rows, and reads that must not be cancelled."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from .platform_fleet import HOST, free_port
 from .virtual_time import VirtualLoop
 
-MOST_ASKED = 10
-"""Copies asked for before the test gives up."""
-SLOW_TURNS = 40
-"""Turns of the event loop that a slow store takes for an answer."""
+MAX_REQUEST_COUNT = 10
+"""Copies requested before the test gives up."""
+SLOW_ANSWER_TURN_COUNT = 40
+"""Event loop turns that a slow store takes to answer."""
 
 
 def neighbour(name: str) -> Neighbour:
@@ -32,7 +32,8 @@
 
 
 class HungPeers:
-    """Neighbours of which `hung` answer no copies, while all go on telling of more."""
+    """Neighbours of which those in `hung` answer no requests, while all keep reporting newer
+    rows."""
 
     def __init__(self, *, hung: set[str], rows: dict[str, int]) -> None:
         self._hung = hung
@@ -41,10 +42,10 @@
         self.while_hung: Callable[[], None] = lambda: None
 
     async def operators(self, node: Neighbour) -> OperatorCopy:
-        """Answer for `node`, or fail after its patience; heartbeats arrive meanwhile."""
+        """Answer for `node`, or fail after the timeout; heartbeats arrive in the meantime."""
         self.asked.append(node.name)
         await asyncio.sleep(0)
-        if len(self.asked) > MOST_ASKED:
+        if len(self.asked) > MAX_REQUEST_COUNT:
             await asyncio.sleep(3600)
         if node.name in self._hung:
             self.while_hung()
@@ -53,7 +54,7 @@
 
 
 class CutOffPlatform:
-    """A store that answers nobody."""
+    """A store that never answers."""
 
     calls = 0
 
@@ -63,13 +64,12 @@
 
 
 class TestCopies(unittest.IsolatedAsyncioTestCase):
-    """Several neighbours tell of something newer, and one of them does not answer.
+    """Several neighbours report newer rows, and one of them does not answer.
 
-    Symptom: `node not reached` for the same node over and over, while another one had the
-    new catalog.  Sequence: both tell of it by heartbeats, the one that hangs last; a copy
-    from it fails after 0.5 s, and meanwhile both have told again in the same order.
-    Cause: one place for whoever is ahead, which the last heartbeat took: the other told
-    node was lost.  Settled by the nodes asked: hung, hung, hung ...
+    Failure: `node not reached` was logged for the same node over and over, while another node had
+    the new catalog. Both reported it by heartbeats, the hanging one last, and both again while the
+    copy from it failed after 0.5 s. Only the node of the last heartbeat was remembered, so the
+    other one was never asked. Shown by the order of requests: hung, hung, hung ...
     """
 
     async def asyncSetUp(self) -> None:
@@ -84,7 +84,7 @@
             rng=random.Random(1),
         )
         self.feed = OperatorFeed(tools=tools, on_change=lambda: None)
-        self.peers.while_hung = lambda: self._tell("good", "hung")
+        self.peers.while_hung = lambda: self._report("good", "hung")
         self.task = asyncio.ensure_future(self.feed.run())
         await asyncio.sleep(0)
 
@@ -92,45 +92,45 @@
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
 
-    def _tell(self, *names: str) -> None:
+    def _report(self, *names: str) -> None:
         for name in names:
             row = 8 if name == "better" else 7
             self.feed.heard(Heartbeat(neighbour(name), True, False, 0, {"m": row}, {}))
 
     async def _settle(self) -> None:
-        for _ in range(4 * MOST_ASKED):
+        for _ in range(4 * MAX_REQUEST_COUNT):
             await asyncio.sleep(0)
 
     async def test_a_node_that_hangs_hides_no_other_that_is_ahead(self) -> None:
-        self._tell("good", "hung")
+        self._report("good", "hung")
         await self._settle()
         self.assertEqual(self.views.named, {"m": 7}, self.peers.asked)
 
     async def test_whoever_tells_of_more_meanwhile_is_asked_next(self) -> None:
-        self._tell("good")
+        self._report("good")
         await asyncio.sleep(0)
-        self._tell("good", "better")
+        self._report("good", "better")
         await self._settle()
         self.assertEqual(self.views.named, {"m": 8})
 
     async def test_a_copy_that_is_no_longer_newer_is_not_asked_for(self) -> None:
-        self._tell("better", "good")
+        self._report("better", "good")
         await self._settle()
         self.assertEqual(self.views.named, {"m": 8})
         asked = len(self.peers.asked)
-        self._tell("good")
+        self._report("good")
         await self._settle()
         self.assertEqual(len(self.peers.asked), asked)
 
 
 class TestSilentPaths(unittest.IsolatedAsyncioTestCase):
-    """Connections between nodes fall silent together, without a reset; new ones work.
+    """Connections between nodes hang together without a reset; new connections work.
 
-    Symptom: a copy from the first neighbour times out, and so does that from the next one,
-    0.5 s each, one for every neighbour with a kept connection.  Cause: what was learned of
-    one neighbour's connection was kept to that neighbour.  Worked out, not seen in a day:
-    a catalog that the reader finds 1.9 s after a silence, twice 0.5 s and a heartbeat's
-    0.15 s make 3.05 s, and 3 s is when it is to be in force.
+    Failure: copies from the first and the next neighbour time out after 0.5 s each, and so for
+    every neighbour with a pooled connection, as a timeout closed only the connection of one
+    neighbour. Calculated, not observed in a day: if the reader finds a catalog 1.9 s after the
+    connections hang, twice 0.5 s and 0.15 s for a heartbeat make 3.05 s, but the catalog must be in
+    force after 3 s.
     """
 
     async def asyncSetUp(self) -> None:
@@ -165,7 +165,7 @@
 
 
 class SlowPlatform:
-    """A store that answers a plain reading after some turns of the loop, a long poll never."""
+    """A store that answers a plain read after some event loop turns, and a long poll never."""
 
     calls = 0
 
@@ -173,23 +173,22 @@
         self.ended = 0
 
     async def operator_changes(self, after: int | None, wait: float) -> OperatorChanges:
-        """Answer, slowly."""
+        """Answer slowly."""
         if wait:
             await asyncio.sleep(3600)
-        for _ in range(SLOW_TURNS):
+        for _ in range(SLOW_ANSWER_TURN_COUNT):
             await asyncio.sleep(0)
         self.ended += 1
         return OperatorChanges(None, (NamedWeights("m", self.ended),), self.ended)
 
 
 class TestHurry(unittest.IsolatedAsyncioTestCase):
-    """The store is slow and answers the targets' readings now and then.
+    """The store is slow, and reads of the targets succeed only now and then.
 
-    Symptom: the operators' rows grow old while the targets' entries are fresh again and
-    again.  Sequence: a targets' reading fails, the next one works and hurries the reading
-    of the operators' rows; that is still under way when the next pair has failed and
-    worked, and is called off to be hurried.  Cause: a hurry called off whatever was under
-    way, also the plain reading that it wants.  Settled by the readings that ended: none.
+    Failure: the operators' rows grew old while the target entries were fresh. Each time a read of
+    the targets succeeded after a failed one, it restarted the read of the operators' rows. A
+    restart cancelled any call, also the plain read in progress, so under repeated restarts no read
+    ended.
     """
 
     async def asyncSetUp(self) -> None:
@@ -217,33 +216,33 @@
     async def test_a_plain_reading_is_not_called_off_to_hurry_it(self) -> None:
         for _ in range(10):
             self.feed.restart_poll()
-            await self._turns(SLOW_TURNS // 2)
+            await self._turns(SLOW_ANSWER_TURN_COUNT // 2)
         self.assertGreater(self.platform.ended, 0)
 
     async def test_a_long_poll_is_called_off_for_a_plain_reading(self) -> None:
-        await self._turns(4 * SLOW_TURNS)
+        await self._turns(4 * SLOW_ANSWER_TURN_COUNT)
         self.assertEqual(self.platform.ended, 1)
         self.feed.restart_poll()
-        await self._turns(4 * SLOW_TURNS)
+        await self._turns(4 * SLOW_ANSWER_TURN_COUNT)
         self.assertEqual(self.platform.ended, 2)
 
     async def test_after_a_pause_a_plain_reading_from_before_does_not_count(self) -> None:
-        await self._turns(SLOW_TURNS - 4)
+        await self._turns(SLOW_ANSWER_TURN_COUNT - 4)
         self.views.stale.set()
         self.feed.read_now()
-        await self._turns(SLOW_TURNS - 4)
+        await self._turns(SLOW_ANSWER_TURN_COUNT - 4)
         self.assertEqual((self.platform.ended, self.views.stale.is_set()), (0, True))
-        await self._turns(2 * SLOW_TURNS)
+        await self._turns(2 * SLOW_ANSWER_TURN_COUNT)
         self.assertFalse(self.views.stale.is_set())
 
 
 class TestLateReader(unittest.TestCase):
-    """A reader that is heard, but reads slowly, must not keep what nodes elsewhere know away.
+    """A reader that sends heartbeats but reads slowly must not withhold rows of other data centres.
 
-    Sequence: the reader's connection to the store crawls while its heartbeats pass; its age
-    shows only after a whole wait and patience, and a node that relies on it took nothing
-    newer from other data centres: some 2.5 s, where a change is to be in force after 2 s.
-    Cause: whether to rely on the reader was judged by what it tells alone.
+    Failure: while the reader's connection to the store was slow, its age became visible only after
+    a full long poll and its timeout. Nodes that used it as their source took no newer rows from
+    other data centres for about 2.5 s, but a change must be in force after 2 s. The reader was
+    judged only by what it reported.
     """
 
     def setUp(self) -> None:
@@ -252,12 +251,12 @@
         self.views = Views()
         self.peers = HungPeers(hung=set(), rows={"far": 7})
         neighbours = Neighbours(me=neighbour("me"))
-        # A larger host reads for this one, and tells that all is well.
+        # A larger host is the reader for this node, and reports that it is up to date.
         reader = neighbour("reader")._replace(capacity=100.0)
-        told = Heartbeat(
+        heartbeat = Heartbeat(
             reader, True, False, 0, {}, {}, reading=ReadState(1, 1, 1, 0.0), period=9.0
         )
-        neighbours.receive(told, self.loop.time())
+        neighbours.receive(heartbeat, self.loop.time())
         neighbours.update_self(serving=True, load=0.0)
         tools = FeedTools(
             platform=CutOffPlatform(),  # type: ignore[arg-type]
@@ -268,7 +267,7 @@
         )
         self.feed = OperatorFeed(tools=tools, on_change=lambda: None)
 
-    async def _told_for(self, seconds: float) -> None:
+    async def _report_for(self, seconds: float) -> None:
         task = asyncio.ensure_future(self.feed.run())
         far = neighbour("far")._replace(data_centre="b")
         end = self.loop.time() + seconds
@@ -279,9 +278,9 @@
         await asyncio.gather(task, return_exceptions=True)
 
     def test_what_the_reader_has_not_after_a_while_is_asked_for_elsewhere(self) -> None:
-        self.loop.run_until_complete(self._told_for(0.9))
+        self.loop.run_until_complete(self._report_for(0.9))
         self.assertEqual(self.views.named, {"m": 7})
 
     def test_the_reader_is_given_time_first(self) -> None:
-        self.loop.run_until_complete(self._told_for(0.3))
+        self.loop.run_until_complete(self._report_for(0.3))
         self.assertEqual(self.peers.asked, [])
