--- a/bench/lab/dialects.py
+++ b/bench/lab/dialects.py
@@ -109,8 +109,8 @@
         *,
         connect_seconds: float,
         accepts: Callable[[ResponseHead], bool] = lambda head: True,
-        most_idle: float | None = None,
-        most_open: int | None = None,
+        max_idle_seconds: float | None = None,
+        max_connections: int | None = None,
     ) -> Exchange:
         """Hand a send to its engine."""
         send = self._targets.sends.pop(data)
--- a/bench/lab/engine.py
+++ b/bench/lab/engine.py
@@ -110,7 +110,7 @@
     def take(self, send: OutgoingRequest, exchange: Exchange) -> None:
         """Take a prompt, or say that it is not run."""
         if self.waiting >= _QUEUE_FACTOR * self._sizes.slots:
-            exchange.headed(_FULL)
+            exchange.head_received(_FULL)
             exchange.completed()
             return
         self._numbers["run"] += 1
@@ -174,7 +174,7 @@
             if needed > self._sizes.memory:
                 self._waiting.pop(0)
                 run.alive = False
-                run.exchange.headed(_FULL)
+                run.exchange.head_received(_FULL)
                 run.exchange.completed()
                 continue
             if not self._make_room(run, needed):
@@ -300,10 +300,10 @@
     def _make(self, run: _Run) -> None:
         run.made += 1
         if run.made == 1:
-            run.exchange.headed(_STREAM)
+            run.exchange.head_received(_STREAM)
         last = run.made >= run.prompt.tokens_out
         if run.made % _STRIDE == 1 or last:
-            run.exchange.received(b"id: %d\ndata: t\n\n" % run.made)
+            run.exchange.body_received(b"id: %d\ndata: t\n\n" % run.made)
         if last:
             run.alive = False
             self._release(run)
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -177,9 +177,9 @@
         Return empty bytes if a resumed run ends at once, since all events were received before.
         """
         if not _is_event_stream(head):
-            return await exchange.piece()
+            return await exchange.read()
         while True:
-            data = await exchange.piece()
+            data = await exchange.read()
             if not data and framer.last and not framer.partial:
                 # The failed run had sent all its events; only the end of the stream was lost.
                 return b""
@@ -213,7 +213,7 @@
     ) -> None:
         """Relay a response without events; raise `Refused` if it is cut off."""
         try:
-            while data := await run.exchange.piece():
+            while data := await run.exchange.read():
                 responder.write(data)
                 await responder.drained()
         except ExchangeError as error:
@@ -231,7 +231,7 @@
         try:
             while True:
                 async with asyncio.timeout(self._gap_timeout(call) if can_resume else None):
-                    data = await run.exchange.piece()
+                    data = await run.exchange.read()
                 if not data:
                     break
                 if ready := framer.feed(data):
--- a/packages/node/src/fielddrift_node/serving/trying.py
+++ b/packages/node/src/fielddrift_node/serving/trying.py
@@ -165,8 +165,8 @@
             data,
             connect_seconds=CONNECT_TIMEOUT_SECONDS,
             accepts=lambda head: context.targets.answers(outgoing, head),
-            most_open=_max_connections(call, context),
-            most_idle=None if call.route.repeatable else _NOT_REPEATABLE_MAX_IDLE_SECONDS,
+            max_connections=_max_connections(call, context),
+            max_idle_seconds=None if call.route.repeatable else _NOT_REPEATABLE_MAX_IDLE_SECONDS,
         )
         call.trace.connection = "kept" if exchange.kept else "new"
         # From here on the request may run, even if this task is cancelled.
--- a/packages/node/src/fielddrift_node/web/__init__.py
+++ b/packages/node/src/fielddrift_node/web/__init__.py
@@ -1,5 +1,5 @@
-"""Speak HTTP/1.1 on the event loop, towards callers and towards targets.
+"""HTTP/1.1 on the asyncio event loop: a server for callers and a client for targets.
 
-httptools (the llhttp parser) reads both sides; what is here is framing,
-connection reuse, time limits and telling a cut answer from a whole one.
+httptools (the llhttp parser) parses requests and responses.  This package adds
+framing, connection reuse, timeouts and the detection of truncated responses.
 """
--- a/packages/node/src/fielddrift_node/web/client.py
+++ b/packages/node/src/fielddrift_node/web/client.py
@@ -1,7 +1,7 @@
-"""Send HTTP/1.1 requests over kept connections, and tell how an answer ended.
+"""An HTTP/1.1 client with persistent connections that detects truncated responses.
 
-Nothing here sends a request twice.  `ExchangeError.sent` says whether any byte
-of the request may have reached the other side.
+It never sends a request twice.  `ExchangeError.sent` states whether any byte of
+the request may have reached the server.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 __all__ = ["Client", "Exchange", "ExchangeError", "Reply", "Timeouts"]
 
-_IDLE_SECONDS = 4.0
-"""How long an idle connection is kept where the other side names no time."""
-_IDLE_MARGIN = 0.7
-"""Part of the named time for which an idle connection is trusted."""
-_MOST_MISMATCHED = 3
-"""Answers of earlier requests that are skipped before a connection is given up."""
-_MOST_BUFFERED = 256 * 1024
-"""Bytes of an answer that wait for a slow reader before the sender is held up."""
+_DEFAULT_IDLE_LIMIT_SECONDS = 4.0
+"""How long an idle connection is reused if the server sends no Keep-Alive timeout."""
+_IDLE_LIMIT_FRACTION = 0.7
+"""Fraction of the Keep-Alive timeout of the server for which an idle connection is reused."""
+_MAX_MISMATCHED_COUNT = 3
+"""Responses to earlier requests that are skipped before the connection is closed."""
+_MAX_BUFFERED_BYTES = 256 * 1024
+"""Body bytes buffered for a slow reader before reading from the connection pauses."""
 
 
 class ExchangeError(Exception):
-    """An exchange that did not end with a whole answer.
+    """Raised when an exchange ends without a complete response.
 
-    `sent` is False when surely no byte of the request left; `reason` is a
-    short word for the counters.  `refused` is True when nobody listens there.
+    `sent` is False if certainly no byte of the request was sent; `reason` is a
+    short label for metrics.  `refused` is True if the server refused the connection.
     """
 
     def __init__(self, detail: str, *, sent: bool, reason: str, refused: bool = False) -> None:
@@ -44,62 +44,72 @@
 
 
 class Timeouts(NamedTuple):
-    """Limits on one whole call, in seconds."""
+    """Timeouts of a call in seconds: of the connect, and of the call as a whole."""
 
     connect: float = 0.5
     whole: float = 1.0
 
 
 class Reply(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     head: ResponseHead
     body: bytes
 
 
 class _Connection(asyncio.Protocol):
-    """One connection to a target; it carries one exchange at a time."""
+    """One connection to a server; it carries one exchange at a time.
+
+    `released` is called when the connection may be reused, `lost` when it is closed.
+    """
 
     def __init__(
-        self, *, rested: Callable[[_Connection], None], lost: Callable[[_Connection], None]
+        self, *, released: Callable[[_Connection], None], lost: Callable[[_Connection], None]
     ) -> None:
-        self._rested = rested
+        self._release = released
         self._lost = lost
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
-        self._sound = True
+        self._reusable = True
         self._answered = True
         self._parser = httptools.HttpResponseParser(self)
-        self._unframed = False
+        self._ends_at_close = False
         self._skipping = False
         self._fields = Headers()
-        self._keep_seconds = _IDLE_SECONDS
+        self._idle_limit_seconds = _DEFAULT_IDLE_LIMIT_SECONDS
         self.idle_since = self._loop.time()
 
     # --- state --------------------------------------------------------------
 
     @property
     def usable(self) -> bool:
-        """Return whether another exchange may begin here."""
-        return self._sound and self._transport is not None and not self._transport.is_closing()
+        """Return whether the connection may carry another exchange."""
+        return self._reusable and self._transport is not None and not self._transport.is_closing()
 
-    def fresh(self, now: float, most_idle: float | None) -> bool:
-        """Return whether the other side surely still waits for a request at `now`."""
-        most = self._keep_seconds if most_idle is None else min(self._keep_seconds, most_idle)
-        return self.usable and now - self.idle_since <= most
+    def can_reuse(self, now: float, max_idle_seconds: float | None) -> bool:
+        """Return whether the server certainly still accepts a request here at `now`.
+
+        `max_idle_seconds`, if given, bounds the idle time further.
+        """
+        limit = (
+            self._idle_limit_seconds
+            if max_idle_seconds is None
+            else min(self._idle_limit_seconds, max_idle_seconds)
+        )
+        return self.usable and now - self.idle_since <= limit
 
     def begin(self, exchange: Exchange, data: bytes) -> None:
-        """Send a request."""
+        """Send `data`, a complete request, for `exchange`."""
         assert self._transport is not None
         self._exchange = exchange
         self._answered = False
-        self._skipped = 0
+        self._skipped_count = 0
         self._transport.write(data)
 
     def close(self) -> None:
-        """Drop the connection and whatever is under way on it."""
-        self._sound = False
+        """Abort the connection and the exchange on it."""
+        self._reusable = False
         if self._transport is not None:
             self._transport.abort()
 
@@ -111,26 +121,26 @@
 
     def data_received(self, data: bytes) -> None:
         if self._exchange is None:
-            # Nothing was asked: these bytes belong to no request.
+            # No request is pending, so these bytes answer none.
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             if self._exchange is not None:
-                self._fail(f"not an answer: {error}", "garbled")
+                self._fail(f"not a valid HTTP response: {error}", "garbled")
             self.close()
 
     def eof_received(self) -> bool:
         exchange = self._exchange
-        if exchange is not None and self._unframed and not self._skipping:
-            self._sound = False
+        if exchange is not None and self._ends_at_close and not self._skipping:
+            self._reusable = False
             self._finish(exchange)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._sound = False
+        self._reusable = False
         if self._exchange is not None:
             self._fail(f"connection lost: {exc or 'closed'}", "reset")
         self._lost(self)
@@ -147,10 +157,10 @@
 
     def on_message_begin(self) -> None:
         self._fields = Headers()
-        self._unframed = False
+        self._ends_at_close = False
         self._skipping = False
         if self._answered:
-            self._sound = False
+            self._reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._fields.add(name, value)
@@ -165,25 +175,25 @@
         length = fields.text(b"content-length")
         chunked = fields.get(b"transfer-encoding") is not None
         bodyless = status in (204, 304)
-        self._unframed = not length and not chunked and not bodyless
-        keep = self._parser.should_keep_alive() and not self._unframed
+        self._ends_at_close = not length and not chunked and not bodyless
+        keep = self._parser.should_keep_alive() and not self._ends_at_close
         head = ResponseHead(status, fields, int(length) if length.isdigit() else None, keep)
         if not exchange.accepts(head):
             self._skipping = True
-            self._skipped += 1
-            if self._skipped > _MOST_MISMATCHED or self._unframed:
-                self._fail("answers of other requests only", "mismatch")
+            self._skipped_count += 1
+            if self._skipped_count > _MAX_MISMATCHED_COUNT or self._ends_at_close:
+                self._fail("only responses to other requests", "mismatch")
                 self.close()
             return
-        self._sound = self._sound and keep
+        self._reusable = self._reusable and keep
         named = fields.text(b"keep-alive").lower().partition("timeout=")[2].partition(",")[0]
         if named.strip().isdigit():
-            self._keep_seconds = int(named) * _IDLE_MARGIN
-        exchange.headed(head)
+            self._idle_limit_seconds = int(named) * _IDLE_LIMIT_FRACTION
+        exchange.head_received(head)
 
     def on_body(self, body: bytes) -> None:
         if not self._skipping and self._exchange is not None:
-            self._exchange.received(body)
+            self._exchange.body_received(body)
 
     def on_message_complete(self) -> None:
         if self._skipping or self._exchange is None:
@@ -195,18 +205,18 @@
     def _finish(self, exchange: Exchange) -> None:
         self._answered = True
         self._exchange = None
-        unread = self._transport.get_write_buffer_size() if self._transport is not None else 0
-        if unread:
-            # Answered before the request was read whole: the rest must not
-            # be taken for another request.
+        unsent_bytes = self._transport.get_write_buffer_size() if self._transport is not None else 0
+        if unsent_bytes:
+            # The server answered before it read the whole request.  It must not
+            # parse the rest of it as another request.
             self.close()
         self.idle_since = self._loop.time()
-        # Its reader may have held it up; the next exchange must not wait for that one.
+        # A slow reader of this exchange may have paused reading; the next one must not stall.
         self.resume_reading()
-        if self._sound:
-            # It is at rest before whoever waits for the answer sends again; what
-            # else stands in the bytes at hand has spoilt it by then.
-            self._rested(self)
+        if self._reusable:
+            # The connection is idle before the reader of the response can send again.  By
+            # then surplus bytes in the data being parsed have made it unusable.
+            self._release(self)
         elif self._transport is not None:
             self._transport.close()
         exchange.completed()
@@ -219,14 +229,14 @@
 
 
 class Exchange:
-    """One request and its answer, as the answer arrives."""
+    """One request and its response, which is read as it arrives."""
 
     def __init__(self, *, accepts: Callable[[ResponseHead], bool]) -> None:
         self._accepts = accepts
         self._loop = asyncio.get_running_loop()
         self._head: ResponseHead | None = None
-        self._pieces: deque[bytes] = deque()
-        self._buffered = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._complete = False
         self._error: ExchangeError | None = None
         self._changed = asyncio.Event()
@@ -235,50 +245,50 @@
 
     @property
     def kept(self) -> bool:
-        """Return whether the connection had carried an exchange before this one."""
+        """Return whether the connection is a reused one."""
         return self._kept
 
     @property
     def complete(self) -> bool:
-        """Return whether the whole answer has arrived."""
+        """Return whether the whole response has arrived."""
         return self._complete
 
     def bind(self, connection: _Connection, *, kept: bool = False) -> None:
-        """Note which connection carries the exchange, and whether it is one that was kept."""
+        """Set the connection that carries the exchange, and whether it is a reused one."""
         self._connection = connection
         self._kept = kept
 
     def accepts(self, head: ResponseHead) -> bool:
-        """Return whether `head` answers this request."""
+        """Return whether `head` belongs to the response to this request."""
         return self._accepts(head)
 
-    def headed(self, head: ResponseHead) -> None:
-        """Take the head."""
+    def head_received(self, head: ResponseHead) -> None:
+        """Set the head of the response."""
         self._head = head
         self._changed.set()
 
-    def received(self, data: bytes) -> None:
-        """Take a piece of the body."""
-        self._pieces.append(data)
-        self._buffered += len(data)
-        if self._buffered > _MOST_BUFFERED and self._connection is not None:
+    def body_received(self, data: bytes) -> None:
+        """Append `data` to the body; pause the connection while too much is buffered."""
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > _MAX_BUFFERED_BYTES and self._connection is not None:
             self._connection.pause_reading()
         self._changed.set()
 
     def completed(self) -> None:
-        """Note the end of a whole answer."""
+        """Mark the response as complete."""
         self._complete = True
-        # The connection may carry another exchange from now on.
+        # From now on the connection may carry another exchange.
         self._connection = None
         self._changed.set()
 
     def failed(self, error: ExchangeError) -> None:
-        """Note that the answer broke off."""
+        """Mark the response as ended by `error`."""
         self._error = error
         self._changed.set()
 
     async def head(self) -> ResponseHead:
-        """Return the head once it is here; raise `ExchangeError`."""
+        """Wait for the head and return it; raise `ExchangeError` if the exchange fails."""
         while self._head is None:
             if self._error is not None:
                 raise self._error
@@ -286,42 +296,51 @@
             await self._changed.wait()
         return self._head
 
-    async def piece(self) -> bytes:
-        """Return what has arrived of the body; empty at its end.  Raise `ExchangeError`."""
-        while not self._pieces:
+    async def read(self) -> bytes:
+        """Wait for body bytes and return all that have arrived; empty at the end of the body.
+
+        Raise `ExchangeError` if the exchange fails.
+        """
+        while not self._buffer:
             if self._complete:
                 return b""
             if self._error is not None:
                 raise self._error
             self._changed.clear()
             await self._changed.wait()
-        data = b"".join(self._pieces)
-        self._pieces.clear()
-        if self._buffered > _MOST_BUFFERED and self._connection is not None:
+        data = b"".join(self._buffer)
+        self._buffer.clear()
+        if self._buffered_bytes > _MAX_BUFFERED_BYTES and self._connection is not None:
             self._connection.resume_reading()
-        self._buffered = 0
+        self._buffered_bytes = 0
         return data
 
     async def body(self) -> bytes:
-        """Return the whole body; raise `ExchangeError`."""
-        pieces = []
-        while data := await self.piece():
-            pieces.append(data)
-        return b"".join(pieces)
+        """Wait for the end of the body and return all of it.
+
+        Raise `ExchangeError` if the exchange fails.
+        """
+        chunks = []
+        while data := await self.read():
+            chunks.append(data)
+        return b"".join(chunks)
 
     def cancel(self) -> None:
-        """Drop the connection unless the answer has come whole."""
+        """Abort the connection unless the response is complete."""
         if not self._complete and self._connection is not None:
             self._connection.close()
 
 
 class Client:
-    """Keep connections to targets, and run exchanges over them."""
+    """A pool of connections by address, and the exchanges over them.
 
-    def __init__(self, *, opened: Callable[[str], None] = lambda address: None) -> None:
-        self._opened = opened
+    `on_connect` is called with the address of each new connection attempt.
+    """
+
+    def __init__(self, *, on_connect: Callable[[str], None] = lambda address: None) -> None:
+        self._on_connect = on_connect
         self._idle: dict[str, list[_Connection]] = {}
-        self._open: dict[str, int] = {}
+        self._open_counts: dict[str, int] = {}
 
     async def begin(
         self,
@@ -330,20 +349,20 @@
         *,
         connect_seconds: float,
         accepts: Callable[[ResponseHead], bool] = lambda head: True,
-        most_idle: float | None = None,
-        most_open: int | None = None,
+        max_idle_seconds: float | None = None,
+        max_connections: int | None = None,
     ) -> Exchange:
-        """Send `data`, a whole request, and return its exchange.
+        """Send `data`, a complete request, and return its exchange.
 
-        `most_idle` bounds for how many seconds a kept connection may have
-        rested, `most_open` how many connections to the address there may be.
-        Raise `ExchangeError` with `sent` False when no connection came up.
+        `max_idle_seconds` bounds the idle time of a reused connection in seconds,
+        `max_connections` the number of open connections to the address.  Raise
+        `ExchangeError` with `sent` False if there is no connection to send it on.
         """
-        connection = self._take(address, most_idle)
+        connection = self._take_idle(address, max_idle_seconds)
         kept = connection is not None
         if connection is None:
-            if most_open is not None and self._open.get(address, 0) >= most_open:
-                detail = f"{address}: {most_open} connections are open"
+            if max_connections is not None and self._open_counts.get(address, 0) >= max_connections:
+                detail = f"{address}: {max_connections} connections are open"
                 raise ExchangeError(detail, sent=False, reason="connections")
             connection = await self._connect(address, connect_seconds)
         exchange = Exchange(accepts=accepts)
@@ -352,21 +371,33 @@
         return exchange
 
     async def call(
-        self, address: str, data: bytes, *, timeouts: Timeouts, most_idle: float | None = None
+        self,
+        address: str,
+        data: bytes,
+        *,
+        timeouts: Timeouts,
+        max_idle_seconds: float | None = None,
     ) -> Reply:
-        """Send a whole request and return its whole answer; raise `ExchangeError`."""
+        """Send `data`, a complete request, and return the complete response.
+
+        Raise `ExchangeError` if the exchange fails or times out.
+        """
         exchange: Exchange | None = None
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         try:
             async with asyncio.timeout(timeouts.whole):
                 exchange = await self.begin(
-                    address, data, connect_seconds=timeouts.connect, most_idle=most_idle
+                    address,
+                    data,
+                    connect_seconds=timeouts.connect,
+                    max_idle_seconds=max_idle_seconds,
                 )
                 return Reply(await exchange.head(), await exchange.body())
         except TimeoutError:
             sent = exchange is not None
-            # Connections fall silent together: one kept since before would hang as long.
-            self._close_idle(address, rested_before=began)
+            # Connections to an address stop responding together: one idle since before
+            # this call would hang as well.
+            self._close_idle_before(address, idle_before=started_at)
             detail = f"{address}: no answer in {timeouts.whole} s"
             raise ExchangeError(detail, sent=sent, reason="timeout") from None
         finally:
@@ -374,34 +405,34 @@
                 exchange.cancel()
 
     async def connect(self, address: str, *, seconds: float) -> None:
-        """Open a connection and keep it for an exchange to come; raise `ExchangeError`."""
-        self._rested(address, await self._connect(address, seconds))
+        """Open a connection and add it to the idle ones; raise `ExchangeError` if that fails."""
+        self._release(address, await self._connect(address, seconds))
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to `address`."""
-        self._close_idle(address, rested_before=float("inf"))
+        self._close_idle_before(address, idle_before=float("inf"))
 
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
 
-    def _close_idle(self, address: str, *, rested_before: float) -> None:
-        """Close the connections to `address` that have carried nothing since `rested_before`."""
+    def _close_idle_before(self, address: str, *, idle_before: float) -> None:
+        """Close the idle connections to `address` that became idle before `idle_before`."""
         idle = self._idle.pop(address, [])
-        kept = [connection for connection in idle if connection.idle_since >= rested_before]
+        kept = [connection for connection in idle if connection.idle_since >= idle_before]
         if kept:
             self._idle[address] = kept
         for connection in idle:
             if connection not in kept:
                 connection.close()
 
-    def _take(self, address: str, most_idle: float | None) -> _Connection | None:
+    def _take_idle(self, address: str, max_idle_seconds: float | None) -> _Connection | None:
         idle = self._idle.get(address, [])
         now = asyncio.get_running_loop().time()
         while idle:
             connection = idle.pop()
-            if connection.fresh(now, most_idle):
+            if connection.can_reuse(now, max_idle_seconds):
                 return connection
             connection.close()
         return None
@@ -409,32 +440,34 @@
     async def _connect(self, address: str, seconds: float) -> _Connection:
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        self._open[address] = self._open.get(address, 0) + 1
-        self._opened(address)
+        self._open_counts[address] = self._open_counts.get(address, 0) + 1
+        self._on_connect(address)
         connection: _Connection | None = None
 
-        def made() -> _Connection:
+        def make_connection() -> _Connection:
             nonlocal connection
             connection = _Connection(
-                rested=lambda c: self._rested(address, c),
+                released=lambda c: self._release(address, c),
                 lost=lambda c: self._lost(address, c),
             )
             return connection
 
         try:
             async with asyncio.timeout(seconds):
-                _, found = await loop.create_connection(made, host, int(port))
+                _, opened_connection = await loop.create_connection(
+                    make_connection, host, int(port)
+                )
         except (OSError, TimeoutError) as error:
             detail = f"{address}: no connection: {error or 'timeout'}"
             refused = isinstance(error, ConnectionRefusedError)
             raise ExchangeError(detail, sent=False, reason="connect", refused=refused) from None
         finally:
-            # One that came up and was given up is counted off by `_lost`.
+            # `_lost` uncounts a connection that came up and was then abandoned.
             if connection is None:
-                self._drop(address)
-        return found
+                self._count_closed(address)
+        return opened_connection
 
-    def _rested(self, address: str, connection: _Connection) -> None:
+    def _release(self, address: str, connection: _Connection) -> None:
         if connection.usable:
             self._idle.setdefault(address, []).append(connection)
 
@@ -443,11 +476,11 @@
         if idle is not None:
             with contextlib.suppress(ValueError):
                 idle.remove(connection)
-        self._drop(address)
+        self._count_closed(address)
 
-    def _drop(self, address: str) -> None:
-        left = self._open.get(address, 1) - 1
+    def _count_closed(self, address: str) -> None:
+        left = self._open_counts.get(address, 1) - 1
         if left > 0:
-            self._open[address] = left
+            self._open_counts[address] = left
         else:
-            self._open.pop(address, None)
+            self._open_counts.pop(address, None)
--- a/packages/node/src/fielddrift_node/web/messages.py
+++ b/packages/node/src/fielddrift_node/web/messages.py
@@ -1,4 +1,4 @@
-"""Hold the heads of HTTP messages as plain data."""
+"""The heads of HTTP requests and responses as plain data."""
 
 from __future__ import annotations
 
@@ -20,9 +20,12 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Lower-case names of the header fields that apply to one connection only.
 
-_REASONS = {
+See RFC 9110, section 7.6.1.
+"""
+
+_REASON_PHRASES = {
     200: b"OK",
     202: b"Accepted",
     400: b"Bad Request",
@@ -43,12 +46,12 @@
 
 
 def reason_phrase(status: int) -> bytes:
-    """Return the reason phrase that goes with `status`."""
-    return _REASONS.get(status, b"Status")
+    """Return the reason phrase of `status`, `Status` if it has none here."""
+    return _REASON_PHRASES.get(status, b"Status")
 
 
 class Headers:
-    """Header fields in their order; names compare without case."""
+    """Header fields in the order received; names are compared case-insensitively."""
 
     __slots__ = ("_fields",)
 
@@ -66,23 +69,26 @@
         self._fields.append((name, value))
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first value of `name` (in lower case), None when there is none."""
+        """Return the first value of the field `name` (in lower case), or None."""
         for field, value in self._fields:
             if field.lower() == name:
                 return value
         return None
 
     def text(self, name: bytes) -> str:
-        """Return the first value of `name` as text, empty when there is none."""
+        """Return the first value of the field `name` (in lower case) as stripped text.
+
+        It is empty if there is no such field.
+        """
         value = self.get(name)
         return "" if value is None else value.decode("latin-1").strip()
 
     def count(self, name: bytes) -> int:
-        """Return how often `name` (in lower case) stands here."""
+        """Return the number of fields with `name` (in lower case)."""
         return sum(1 for field, _ in self._fields if field.lower() == name)
 
     def without_hop_by_hop(self) -> Iterator[tuple[bytes, bytes]]:
-        """Yield the fields that travel on, neither hop-by-hop nor a length."""
+        """Yield the fields to forward: neither hop-by-hop fields nor Content-Length."""
         for name, value in self._fields:
             lower = name.lower()
             if lower not in HOP_BY_HOP and lower != b"content-length":
@@ -90,7 +96,7 @@
 
 
 class RequestHead(NamedTuple):
-    """The head of a request; `target` is the request target as it was sent."""
+    """The head of a request; `target` is the request target exactly as received."""
 
     method: bytes
     target: bytes
@@ -100,7 +106,7 @@
 
 
 class ResponseHead(NamedTuple):
-    """The head of a response; `length` is None where the body's end is marked otherwise."""
+    """The head of a response; `length` is the Content-Length in bytes, or None without one."""
 
     status: int
     headers: Headers
@@ -109,6 +115,6 @@
 
     @property
     def framed(self) -> bool:
-        """Return whether the body's end is marked, not told by the end of the connection."""
+        """Return whether the body is delimited other than by the close of the connection."""
         chunked = self.headers.get(b"transfer-encoding") is not None
         return self.length is not None or chunked or self.status in (204, 304)
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -290,7 +290,7 @@
             await asyncio.gather(begun, return_exceptions=True)
             await asyncio.sleep(0.05)
         self.assertTrue(begun.cancelled())
-        self.assertEqual(self.client._open, {self.address: 1})
+        self.assertEqual(self.client._open_counts, {self.address: 1})
         held.cancel()
 
 
--- a/tests/test_web_client.py
+++ b/tests/test_web_client.py
@@ -105,9 +105,11 @@
 
     async def test_a_target_has_no_more_connections_than_it_may(self) -> None:
         self.answers = []
-        first = await self.client.begin(self.address, REQUEST, connect_seconds=2.0, most_open=1)
+        first = await self.client.begin(
+            self.address, REQUEST, connect_seconds=2.0, max_connections=1
+        )
         with self.assertRaises(ExchangeError) as caught:
-            await self.client.begin(self.address, REQUEST, connect_seconds=2.0, most_open=1)
+            await self.client.begin(self.address, REQUEST, connect_seconds=2.0, max_connections=1)
         self.assertFalse(caught.exception.sent)
         first.cancel()
 
@@ -120,7 +122,7 @@
                 data[rng.randrange(len(data))] = rng.randrange(256)
             self.answers = [bytes(data)]
             try:
-                await self.client.call(self.address, REQUEST, timeouts=short, most_idle=0.0)
+                await self.client.call(self.address, REQUEST, timeouts=short, max_idle_seconds=0.0)
             except ExchangeError as error:
                 self.assertTrue(error.sent)
 
@@ -175,7 +177,7 @@
         self.relay.silence()
         hung = asyncio.ensure_future(self._call(0.5))
         await asyncio.sleep(0.05)
-        self.client.forget(self.address)
+        self.client.close_idle(self.address)
         await self._call()
         opened = self.relay.opened
         with self.assertRaises(ExchangeError):
