--- a/bench/choice.py
+++ b/bench/choice.py
@@ -29,16 +29,16 @@
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_registry import Instance
 from fielddrift_core.workload import Burden
+from fielddrift_node.serving.attempts import Attempts
 from fielddrift_node.serving.call import Call, ServingContext, Trace
 from fielddrift_node.serving.crash_watch import CrashWatch
-from fielddrift_node.serving.kept import PartTransferPlanner, salt_of
 from fielddrift_node.serving.metrics import Metrics
 from fielddrift_node.serving.notices import NoticeHandler
-from fielddrift_node.serving.placing import Placement
+from fielddrift_node.serving.part_transfers import PartTransferPlanner, salt_of
 from fielddrift_node.serving.ports import NamedWeights, ParsedRequest
+from fielddrift_node.serving.prompt_placement import Placement
 from fielddrift_node.serving.send_gate import SendGate
 from fielddrift_node.serving.settings import NodeSettings
-from fielddrift_node.serving.trying import Attempts
 from fielddrift_node.serving.views import Views
 from fielddrift_node.web.messages import Headers, RequestHead
 from fielddrift_node.web.server import Request
--- a/bench/lab/switches.py
+++ b/bench/lab/switches.py
@@ -7,11 +7,11 @@
 from typing import Any
 from unittest import mock
 
-from fielddrift_core import placement, waiting
-from fielddrift_core.pace import EngineSlowdowns
-from fielddrift_core.waiting import MemoryTurnover
+from fielddrift_core import placement, prompt_queue
+from fielddrift_core.engine_slowdown import EngineSlowdowns
+from fielddrift_core.prompt_queue import MemoryTurnover
 from fielddrift_core.workload import Lateness
-from fielddrift_node.serving import placing
+from fielddrift_node.serving import prompt_placement
 
 __all__ = ["SWITCHES", "switched_off"]
 
@@ -37,13 +37,13 @@
 @_switch("handover")
 def _handover() -> Sequence[Any]:
     """Send no more than an engine's memory holds, however short its runs are."""
-    return [mock.patch.object(waiting, "_HANDOVER_SECONDS", 0.0)]
+    return [mock.patch.object(prompt_queue, "_HANDOVER_SECONDS", 0.0)]
 
 
 @_switch("reserve")
 def _reserve() -> Sequence[Any]:
     """Keep no room for the most urgent."""
-    return [mock.patch.object(waiting, "_RESERVED_FRACTION", 0.0)]
+    return [mock.patch.object(prompt_queue, "_RESERVED_FRACTION", 0.0)]
 
 
 @_switch("turnover")
@@ -55,7 +55,7 @@
 @_switch("refusing")
 def _refusing() -> Sequence[Any]:
     """Take everyone, however late."""
-    return [mock.patch.object(placing, "refusal_delay", lambda **_: None)]
+    return [mock.patch.object(prompt_placement, "refusal_delay", lambda **_: None)]
 
 
 @_switch("lateness")
--- a/packages/node/src/fielddrift_node/serving/cold_gate.py
+++ b/packages/node/src/fielddrift_node/serving/cold_gate.py
@@ -7,7 +7,7 @@
 from fielddrift_core.neighbours import Neighbours
 from fielddrift_core.target_registry import Instance
 
-from .owners import knows_active_nodes
+from .active_nodes import knows_active_nodes
 from .settings import Bounds
 from .views import Views
 
--- a/packages/node/src/fielddrift_node/serving/gateway.py
+++ b/packages/node/src/fielddrift_node/serving/gateway.py
@@ -7,13 +7,13 @@
 
 import structlog
 from fielddrift_core.catalog import Route
+from fielddrift_core.drain_window import max_response_seconds
 from fielddrift_core.errors import ERROR_RESPONSES, ErrorKind, Ran, Refusal
-from fielddrift_core.leaving import max_response_seconds
 
 from ..web.server import Request, Responder
 from .call import Call, Refused, ServingContext, Trace
 from .generation import Generation
-from .plain import PlainRequests
+from .plain_requests import PlainRequests
 from .ports import InvalidRequest, ParsedRequest
 
 __all__ = ["Gateway"]
--- a/packages/node/src/fielddrift_node/serving/generation.py
+++ b/packages/node/src/fielddrift_node/serving/generation.py
@@ -17,12 +17,12 @@
 from ..web.client import Exchange, ExchangeError
 from ..web.messages import ResponseHead
 from ..web.server import Responder
-from .begin_watch import StaleWeightsTimeout
+from .attempts import AttemptFailed, Attempts, send_once
 from .call import Call, ServingContext, short_id
-from .kept import PartTransferPlanner
-from .placing import FIRST_EVENT_TIMEOUT_ESTIMATES, Placement
+from .part_transfers import PartTransferPlanner
 from .ports import OutgoingRequest
-from .trying import AttemptFailed, Attempts, send_once
+from .prompt_placement import FIRST_EVENT_TIMEOUT_ESTIMATES, Placement
+from .stale_weights import StaleWeightsTimeout
 
 __all__ = ["Generation"]
 
--- a/packages/node/src/fielddrift_node/serving/limit_gate.py
+++ b/packages/node/src/fielddrift_node/serving/limit_gate.py
@@ -8,7 +8,7 @@
 from fielddrift_core.neighbours import Neighbours
 from fielddrift_core.target_registry import Instance
 
-from .owners import knows_active_nodes
+from .active_nodes import knows_active_nodes
 from .views import Views
 
 __all__ = ["LimitGate"]
--- a/packages/node/src/fielddrift_node/serving/node.py
+++ b/packages/node/src/fielddrift_node/serving/node.py
@@ -9,8 +9,8 @@
 from typing import Any, NamedTuple
 
 import structlog
+from fielddrift_core.drain_window import DrainWindow
 from fielddrift_core.eras import era_of
-from fielddrift_core.leaving import DrainWindow
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours
 
 from ..web.client import Client
--- a/packages/node/src/fielddrift_node/serving/plain.py
+++ b/packages/node/src/fielddrift_node/serving/plain_requests.py
@@ -10,9 +10,9 @@
 from ..web.client import Exchange, ExchangeError
 from ..web.messages import ResponseHead
 from ..web.server import Responder
+from .attempts import AttemptFailed, Attempts, send_once
 from .call import Call, ServingContext
 from .ports import OutgoingRequest
-from .trying import AttemptFailed, Attempts, send_once
 
 __all__ = ["PlainRequests"]
 
--- a/packages/node/src/fielddrift_node/serving/placing.py
+++ b/packages/node/src/fielddrift_node/serving/prompt_placement.py
@@ -21,15 +21,15 @@
     choose_engine,
     has_room,
 )
+from fielddrift_core.prompt_queue import WaitingPrompt, queue_name
 from fielddrift_core.rollout import EngineWeights, seconds_to_begin
 from fielddrift_core.target_registry import Instance
-from fielddrift_core.waiting import WaitingPrompt, queue_name
 from fielddrift_core.workload import Burden
 
+from .attempts import Attempts
 from .call import Call, Refused, ServingContext
-from .kept import PartTransferPlanner, StoredPartLookup
-from .rooms import ServiceQueue
-from .trying import Attempts
+from .part_transfers import PartTransferPlanner, StoredPartLookup
+from .service_queues import ServiceQueue
 
 __all__ = ["FIRST_EVENT_TIMEOUT_ESTIMATES", "Placement"]
 
--- a/packages/node/src/fielddrift_node/serving/rooms.py
+++ b/packages/node/src/fielddrift_node/serving/service_queues.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from fielddrift_core.waiting import MemoryTurnover, PromptQueue, WaitingPrompt
+from fielddrift_core.prompt_queue import MemoryTurnover, PromptQueue, WaitingPrompt
 
 __all__ = ["ServiceQueue", "ServiceQueues"]
 
--- a/packages/node/src/fielddrift_node/serving/store_tracker.py
+++ b/packages/node/src/fielddrift_node/serving/store_tracker.py
@@ -13,8 +13,8 @@
 from fielddrift_core.readers import STALE_POSITION_SECONDS, reader, store_sources
 from fielddrift_core.store_index import KeptChange, StoreView
 
-from .kept import salt_of
 from .metrics import Metrics
+from .part_transfers import salt_of
 from .ports import RemoteCallError, TargetDialect
 from .sharing import PeerClient, StoreCopy, StoreCopyRequest
 from .views import MAX_FETCH_SECONDS, Views
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -10,12 +10,12 @@
 from fielddrift_core.catalog import Catalog
 from fielddrift_core.cold_targets import ColdTargets
 from fielddrift_core.crashes import CrashHistory
+from fielddrift_core.drain_window import DrainWindow
+from fielddrift_core.engine_memory import EngineMemory
+from fielddrift_core.engine_slowdown import EngineSlowdowns
 from fielddrift_core.evacuations import Evacuations
-from fielddrift_core.leaving import DrainWindow
-from fielddrift_core.linkqueue import LinkQueue
-from fielddrift_core.loading import LoadingEngines
-from fielddrift_core.memory import EngineMemory
-from fielddrift_core.pace import EngineSlowdowns
+from fielddrift_core.link_queue import LinkQueue
+from fielddrift_core.loading_engines import LoadingEngines
 from fielddrift_core.readers import OPERATORS_POLL_SECONDS, ReadState
 from fielddrift_core.rollout import EngineWeights, Naming, NamingTimes, VersionAge, upcoming_loads
 from fielddrift_core.store_index import StoreIndex
@@ -25,7 +25,7 @@
 from fielddrift_core.workload import Lateness, PeakRate, TargetHealth, Workload
 
 from .ports import NamedWeights
-from .rooms import ServiceQueues
+from .service_queues import ServiceQueues
 
 __all__ = ["PAUSE_THRESHOLD_SECONDS", "EvacuationChange", "CandidateEngines", "Views"]
 
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -236,7 +236,7 @@
             # A send without a response times out after twice the route's latency goal.
             each["target-latency-ms"] = round(seconds * 500)
         self.fleet.configure()
-        connects = mock.patch("fielddrift_node.serving.trying.CONNECT_TIMEOUT_SECONDS", seconds)
+        connects = mock.patch("fielddrift_node.serving.attempts.CONNECT_TIMEOUT_SECONDS", seconds)
         connects.start()
         self.addCleanup(connects.stop)
 
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -14,11 +14,11 @@
 
 from fielddrift_core import placement
 from fielddrift_core.candidates import MAX_CANDIDATES, sample
-from fielddrift_core.linkqueue import LinkQueue
+from fielddrift_core.link_queue import LinkQueue
 from fielddrift_core.placement import EngineChoice
 from fielddrift_core.target_registry import Instance
 from fielddrift_core.workload import REPORT_TTL_SECONDS, Burden, Lateness, Workload
-from fielddrift_node.serving.trying import Attempts
+from fielddrift_node.serving.attempts import Attempts
 from hypothesis import given
 from hypothesis import strategies as st
 
--- a/tests/test_leaving.py
+++ b/tests/test_drain_window.py
@@ -5,8 +5,8 @@
 import asyncio
 from unittest import mock
 
-from fielddrift_core import leaving
-from fielddrift_core.leaving import DrainWindow, max_response_seconds
+from fielddrift_core import drain_window
+from fielddrift_core.drain_window import DrainWindow, max_response_seconds
 from fielddrift_standins.worker import Worker
 
 from .platform_fleet import BOUNDS, FleetCase, ask, prompt
@@ -18,7 +18,7 @@
 class TestLeaving(FleetCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        patch = mock.patch.object(leaving, "_ACCEPT_ALL_SECONDS", LATE)
+        patch = mock.patch.object(drain_window, "_ACCEPT_ALL_SECONDS", LATE)
         patch.start()
         self.addCleanup(patch.stop)
         self.engine = await self.fleet.worker(Worker(name="e1", events=3), "engines")
--- a/tests/test_pace.py
+++ b/tests/test_engine_slowdown.py
@@ -7,7 +7,7 @@
 import unittest
 
 from fielddrift_core.catalog import EngineTraits
-from fielddrift_core.pace import EngineSlowdowns
+from fielddrift_core.engine_slowdown import EngineSlowdowns
 from fielddrift_core.placement import PREFILL_TOKENS_PER_SECOND, EngineState, choose_engine
 from fielddrift_core.prompt import Part, Prompt
 from fielddrift_core.target_registry import Instance
--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -14,10 +14,10 @@
 from typing import Any
 from unittest import mock
 
-from fielddrift_core.memory import EngineMemory
+from fielddrift_core.engine_memory import EngineMemory
 from fielddrift_core.prompt import Part
+from fielddrift_core.prompt_queue import PromptQueue, WaitingPrompt
 from fielddrift_core.stream import EventFramer
-from fielddrift_core.waiting import PromptQueue, WaitingPrompt
 from fielddrift_node.serving.ports import TargetChanges
 from fielddrift_node.web.client import Client, Timeouts, _Connection
 from fielddrift_node.web.messages import Headers
--- a/tests/test_platform_decisions.py
+++ b/tests/test_platform_decisions.py
@@ -5,8 +5,8 @@
 import random
 import unittest
 
-from fielddrift_core.linkqueue import LinkQueue
-from fielddrift_core.memory import EngineMemory
+from fielddrift_core.engine_memory import EngineMemory
+from fielddrift_core.link_queue import LinkQueue
 from fielddrift_core.overload import is_congested, refusal_delay
 from fielddrift_core.prompt import Part
 from fielddrift_core.retries import WindowBudget
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import ClassVar
 
-from fielddrift_core.loading import LoadingEngines
+from fielddrift_core.loading_engines import LoadingEngines
 from fielddrift_core.neighbours import Heartbeat, Neighbour, Neighbours
 from fielddrift_core.readers import (
     ReadState,
--- a/tests/test_room_line.py
+++ b/tests/test_room_line.py
@@ -7,8 +7,8 @@
 from fielddrift_core.catalog import EngineTraits
 from fielddrift_core.placement import EngineChoice, EngineState, choose_engine
 from fielddrift_core.prompt import Part, Prompt
+from fielddrift_core.prompt_queue import MemoryTurnover, PromptQueue, WaitingPrompt
 from fielddrift_core.target_registry import Instance
-from fielddrift_core.waiting import MemoryTurnover, PromptQueue, WaitingPrompt
 from fielddrift_core.workload import Burden
 
 TRAITS = EngineTraits(64, 70_000, 18_432, 1e9, ("m",), 4)
--- a/tests/test_begin_watch.py
+++ b/tests/test_stale_weights.py
@@ -5,8 +5,8 @@
 import asyncio
 import unittest
 
-from fielddrift_node.serving.begin_watch import StaleWeightsTimeout
 from fielddrift_node.serving.ports import NamedWeights
+from fielddrift_node.serving.stale_weights import StaleWeightsTimeout
 from fielddrift_node.serving.views import Views
 
 from .virtual_time import VirtualLoop
@@ -15,7 +15,7 @@
 _NAMED_BEFORE_SECONDS = 0.01
 
 
-class TestBeginWatch(unittest.TestCase):
+class TestStaleWeightsTimeout(unittest.TestCase):
     def setUp(self) -> None:
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
