--- a/tests/target_views.py
+++ b/tests/target_views.py
@@ -1,7 +1,7 @@
-"""Let nodes follow the targets' entries in virtual time: a store, heartbeats, copies, no sockets.
+"""Run target feeds of several nodes in virtual time: a store, heartbeats, copies, no sockets.
 
-Each node runs its real feed, its real heartbeats and its real answers to neighbours;
-what lies between them is a function call that takes some time or fails.
+Each node has its real feed, heartbeat translator and peer handler. Calls between them are function
+calls that take some time or fail.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 from .virtual_time import VirtualLoop
 
-__all__ = ["NAMES", "SERVICE", "TargetFleet", "ToldEnd", "ViewNode"]
+__all__ = ["NAMES", "SERVICE", "TargetFleet", "ReadEnd", "ViewNode"]
 
 SERVICE = "s"
 NAMES = rank(READER_KEY, [(f"node-{number}", 1.0) for number in (1, 2, 3)])
-"""The first reads for the others."""
+"""The first node is the reader for the others."""
 _CALL_SECONDS = 0.02
 _HEARTBEAT_SECONDS = 0.15
 
 
-class ToldEnd(NamedTuple):
-    """When a reading of a node's own told the end of an entry, as of which row."""
+class ReadEnd(NamedTuple):
+    """When a node's own read reported the end of an entry, and the row version of that end."""
 
     at: float
     row: int
@@ -63,7 +63,7 @@
         self._changed(name)
 
     def forget(self) -> None:
-        """Forget the history."""
+        """Discard the history of changes."""
         self._forgotten = self._version
 
     def news(self, after: int | None) -> TargetChanges:
@@ -89,11 +89,11 @@
         self.name = name
         self.fleet = fleet
         self.cut_off = False
-        """The store answers others, but not this node."""
+        """The store rejects calls of this node, but answers others."""
         self.mute = False
-        """Neighbours that ask this node get no answer, though they hear its heartbeats."""
-        self.told_ends: dict[str, ToldEnd] = {}
-        """Ends that readings of its own told, where no call of late had failed."""
+        """This node does not answer requests, but its heartbeats still arrive."""
+        self.read_ends: dict[str, ReadEnd] = {}
+        """Ends reported by the node's own reads while none of its recent calls had failed."""
         self.failed_at = float("-inf")
         self.views = Views()
         me = Neighbour(name, boot, "a", f"{name}:1", f"{name}:2", f"{name}:3")
@@ -113,12 +113,12 @@
 
     @property
     def lists(self) -> set[str]:
-        """Return the names of the targets that it lists."""
+        """Return the names of the targets in the node's registry."""
         return {target.name for target in self.views.registry.all()}
 
     @property
     def sends_to(self) -> set[str]:
-        """Return the names of the targets that get new work."""
+        """Return the names of the targets that receive new work."""
         return {target.name for target in self.views.registry.serving(SERVICE)}
 
     async def target_changes(self, after: int | None) -> TargetChanges:
@@ -128,77 +128,77 @@
         if self.fleet.store.down or self.cut_off:
             self.failed_at = now
             raise RemoteCallError("store: status 503")
-        # Whose other reading hangs is not relied on; here it goes as this one does.
+        # A node with old operators' rows is not a source; here they are as current as the targets.
         self.views.operators_read_at = now
         before = self.lists
         news = self.fleet.store.news(after)
         gone = before - {e.name for e in news.entries} if news.whole else before & {*news.ended}
         if now - self.failed_at > LAPSE_GRACE_SECONDS + 2.0:
             for name in gone:
-                self.told_ends[name] = ToldEnd(now, self.fleet.store.rows[name])
+                self.read_ends[name] = ReadEnd(now, self.fleet.store.rows[name])
         return news
 
     async def targets(self, node: Neighbour) -> TargetCopy:
-        """Ask a neighbour in place of the peers' address."""
+        """Request a neighbour's copy in place of its peer address."""
         await asyncio.sleep(_CALL_SECONDS)
         other = self.fleet.nodes.get(node.name)
-        if other is None or other.mute or self.fleet.apart(self.name, node.name):
+        if other is None or other.mute or self.fleet.is_partitioned(self.name, node.name):
             raise RemoteCallError(f"node {node.name}: no answer")
         data = msgspec.msgpack.encode(other.handler._targets([]))
         await asyncio.sleep(self.fleet.copy_seconds())
         return msgspec.msgpack.decode(data, type=TargetCopy)
 
     def heartbeat(self) -> Heartbeat:
-        """Return what it tells others now, as it arrives there."""
-        told = self.translator.heartbeat(Relation(True, True, True), leaving=False)
-        # Ready means a catalog besides, which nothing here needs.
-        told = told._replace(ready=True)
-        return msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=Heartbeat)
-
-    def hear(self, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat, as a serving node does."""
+        """Return the node's current heartbeat as the other nodes decode it."""
+        heartbeat = self.translator.heartbeat(Relation(True, True, True), leaving=False)
+        # A node is ready only if it also has a catalog, which is not needed here.
+        heartbeat = heartbeat._replace(ready=True)
+        return msgspec.msgpack.decode(msgspec.msgpack.encode(heartbeat), type=Heartbeat)
+
+    def receive(self, heartbeat: Heartbeat) -> None:
+        """Process a heartbeat as a serving node does."""
         self.neighbours.receive(heartbeat, asyncio.get_running_loop().time())
         self.translator.heard(heartbeat)
         self.feed.heard(heartbeat.node, heartbeat.reading)
 
 
 class TargetFleet:
-    """Some nodes of a data centre, and the store."""
+    """Some nodes of one data centre, and the store."""
 
     def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
         self.loop = loop
         self.rng = rng
         self.store = TargetStore()
         self.nodes: dict[str, ViewNode] = {}
-        self.parted: set[frozenset[str]] = set()
-        """Pairs of nodes that do not reach each other."""
+        self.partitions: set[frozenset[str]] = set()
+        """Pairs of nodes that cannot reach each other."""
         self._boots = 0
-        self._tasks: list[asyncio.Task[None]] = [loop.create_task(self._tell())]
+        self._tasks: list[asyncio.Task[None]] = [loop.create_task(self._send_heartbeats())]
 
     def copy_seconds(self) -> float:
-        """Return how long the next copy is on its way."""
+        """Return the transit time of the next copy."""
         return self.rng.choice((_CALL_SECONDS, _CALL_SECONDS, 0.3))
 
-    def apart(self, one: str, other: str) -> bool:
-        """Return whether two nodes do not reach each other."""
-        return frozenset((one, other)) in self.parted
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Return whether two nodes cannot reach each other."""
+        return frozenset((one, other)) in self.partitions
 
     def start(self, name: str) -> ViewNode:
-        """Start a node anew."""
+        """Start a node as a new process instance."""
         self._boots += 1
         node = self.nodes[name] = ViewNode(name=name, boot=self._boots, fleet=self)
         node.task = self.loop.create_task(node.feed.run())
         return node
 
     def stop(self, name: str) -> None:
-        """End a node at once."""
+        """Stop a node at once."""
         task = self.nodes.pop(name).task
         assert task is not None
         task.cancel()
         self._tasks.append(task)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let time pass, and raise the error of any feed that failed."""
         self._run(asyncio.sleep(seconds))
         for node in self.nodes.values():
             assert node.task is not None
@@ -206,22 +206,23 @@
                 node.task.result()
 
     def close(self) -> None:
-        """End everything."""
+        """Stop all nodes and tasks."""
         for name in list(self.nodes):
             self.stop(name)
-        # A cancel that meets a wake-up is lost in `wait_for` of Python 3.11: cancel until it ends.
+        # `wait_for` of Python 3.11 loses a cancellation that coincides with a wake-up, so tasks are
+        # cancelled until they end.
         while pending := [task for task in self._tasks if not task.done()]:
             for task in pending:
                 task.cancel()
             self._run(asyncio.wait(pending, timeout=1.0))
 
-    async def _tell(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             for name, node in list(self.nodes.items()):
                 heartbeat = node.heartbeat()
                 for other in list(self.nodes.values()):
-                    if other is not node and not self.apart(name, other.name):
-                        other.hear(heartbeat)
+                    if other is not node and not self.is_partitioned(name, other.name):
+                        other.receive(heartbeat)
             await asyncio.sleep(_HEARTBEAT_SECONDS)
 
     def _run(self, work: Coroutine[Any, Any, Any] | asyncio.Future[Any]) -> None:
--- a/tests/test_target_view_walk.py
+++ b/tests/test_target_view_walk.py
@@ -1,4 +1,5 @@
-"""Views of the targets: read, copied, cut off and started anew, in any order."""
+"""Random walks over views of the targets, with reads, copies, partitions and restarts in any
+order."""
 
 from __future__ import annotations
 
@@ -15,22 +16,22 @@
 from .virtual_time import VirtualLoop
 
 EXAMPLES = 3
-"""Of twenty walks each."""
+"""Examples, of twenty walks each."""
 DRAIN_SECONDS = 2.0
-"""How long after its end a target may get work."""
+"""Maximum time after its end during which a target may receive work."""
 SETTLED_SECONDS = 8.0
-"""Longer than a respite, the turns after it, and the fall of a node's silence."""
-_MOST_TARGETS = 6
-_RETURN_SECONDS = 1.9
-"""Targets that live are back in the store so long after its return at most."""
+"""Longer than a grace period, the updates after it, and the detection of a silent node."""
+_MAX_TARGET_COUNT = 6
+_RETURN_DELAY_SECONDS = 1.9
+"""Maximum time after the store's return until live targets have written their entries again."""
 
 
 class TargetViewWalk(Walk):
-    """Three nodes, targets that come, leave, end and lapse, and faults of all kinds."""
+    """Three nodes, targets that start, leave, end and expire, and all kinds of faults."""
 
     loop: VirtualLoop
     fleet: TargetFleet | None = None
-    """That of the walk before, which ends with the next."""
+    """The fleet of the previous walk, which is closed when the next one starts."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
@@ -39,7 +40,7 @@
         self.fleet = TargetViewWalk.fleet = TargetFleet(loop=self.loop, rng=rng)
         self.number = 0
         self.lapsed: set[str] = set()
-        """Targets that live, whose entries lapsed while the store was away."""
+        """Live targets whose entries expired while the store was down."""
         for _ in range(3):
             self.enter()
         for name in NAMES:
@@ -48,19 +49,19 @@
 
     def moves(self) -> list[Callable[[], None]]:
         usual = [self.wait] * 10 + [self.enter] * 2 + [self.change] * 5 + [self.end] * 3
-        faults = [self.store_away, self.cut_off, self.isolate] * 2
-        seldom = [self.mute, self.part, self.start_anew, self.forget, self.settle]
-        return usual + faults + seldom
+        faults = [self.toggle_store, self.cut_off, self.isolate] * 2
+        rare = [self.mute, self.part, self.restart_node, self.forget, self.settle]
+        return usual + faults + rare
 
     # --- targets ----------------------------------------------------------------------
 
     def enter(self) -> None:
-        if len(self.fleet.store.entries) < _MOST_TARGETS and not self.fleet.store.down:
+        if len(self.fleet.store.entries) < _MAX_TARGET_COUNT and not self.fleet.store.down:
             self.number += 1
             self.fleet.store.enter(f"t{self.number}")
 
     def change(self) -> None:
-        """Write an entry anew, with the word that its target leaves at times."""
+        """Rewrite an entry, sometimes as that of a leaving target."""
         store = self.fleet.store
         if store.entries and not store.down:
             name = self.rng.choice(sorted(store.entries))
@@ -73,8 +74,9 @@
 
     # --- faults -----------------------------------------------------------------------
 
-    def store_away(self) -> None:
-        """Take the store away, or let it return; targets that lapsed come back then."""
+    def toggle_store(self) -> None:
+        """Take the store down or bring it back; expired targets write their entries again after
+        that."""
         store = self.fleet.store
         store.down = not store.down
         if store.down:
@@ -83,34 +85,37 @@
                 store.end(name)
             return
         for name in sorted(self.lapsed):
-            self.fleet.loop.call_later(self.rng.uniform(0, _RETURN_SECONDS), self._back, name)
+            self.fleet.loop.call_later(
+                self.rng.uniform(0, _RETURN_DELAY_SECONDS), self._return_target, name
+            )
 
     def cut_off(self) -> None:
         node = self._node()
         node.cut_off = not node.cut_off
 
     def isolate(self) -> None:
-        """Cut all links of a node for a while; that to the store may be back before the others."""
+        """Cut all links of a node for a while; the link to the store may return before the
+        others."""
         node = self._node()
         pairs = {frozenset((node.name, name)) for name in NAMES if name != node.name}
         node.cut_off = True
-        self.fleet.parted |= pairs
+        self.fleet.partitions |= pairs
         self.fleet.wait(self.rng.uniform(0.5, 3.0))
         self.end()
         self.fleet.wait(self.rng.uniform(0.0, 1.0))
         node.cut_off = False
         self.fleet.wait(self.rng.uniform(0.0, 1.5))
-        self.fleet.parted -= pairs
+        self.fleet.partitions -= pairs
 
     def mute(self) -> None:
         node = self._node()
         node.mute = not node.mute
 
     def part(self) -> None:
-        self.fleet.parted ^= {frozenset(self.rng.sample(NAMES, k=2))}
+        self.fleet.partitions ^= {frozenset(self.rng.sample(NAMES, k=2))}
 
-    def start_anew(self) -> None:
-        """End a node, and start it again after a while."""
+    def restart_node(self) -> None:
+        """Stop a node, and start it again after a while."""
         name = self.rng.choice(NAMES)
         self.fleet.stop(name)
         self.fleet.wait(self.rng.choice((0.1, 1.0, 3.0)))
@@ -125,10 +130,10 @@
         self.fleet.wait(self.rng.choice((0.1, 0.4, 0.8)))
 
     def settle(self) -> None:
-        """End every fault; after the respites each node lists what the store lists."""
+        """End all faults; after the grace periods each node lists the same targets as the store."""
         if self.fleet.store.down:
-            self.store_away()
-        self.fleet.parted.clear()
+            self.toggle_store()
+        self.fleet.partitions.clear()
         for node in self.fleet.nodes.values():
             node.cut_off = node.mute = False
         self.fleet.wait(SETTLED_SECONDS)
@@ -139,9 +144,9 @@
     def check(self) -> None:
         now = self.fleet.loop.time()
         for name, node in self.fleet.nodes.items():
-            for target, told in node.told_ends.items():
-                if self.fleet.store.rows[target] == told.row and target in node.sends_to:
-                    late = now - told.at
+            for target, read_end in node.read_ends.items():
+                if self.fleet.store.rows[target] == read_end.row and target in node.sends_to:
+                    late = now - read_end.at
                     assert late <= DRAIN_SECONDS, (
                         f"{name} sends to {target}, ended {late:.1f} s ago"
                     )
@@ -149,14 +154,15 @@
     def _node(self):
         return self.fleet.nodes[self.rng.choice(NAMES)]
 
-    def _back(self, name: str) -> None:
+    def _return_target(self, name: str) -> None:
         if not self.fleet.store.down and name in self.lapsed:
             self.lapsed.remove(name)
             self.fleet.store.enter(name)
 
 
-def _copied_back(registry: TargetRegistry, entries, leaving, lapsed, *, lost: bool) -> None:
-    """Hold what the other node holds, listed here or not."""
+def _apply_all(registry: TargetRegistry, entries, leaving, lapsed, *, lost: bool) -> None:
+    """Faulty replacement of `apply_copy`: adopt all entries of the copy, even those that a read had
+    ended here."""
     registry._instances = {entry.name: entry for entry in entries}
     registry._lapsed = dict(lapsed)
     registry._leaving |= {*leaving}
@@ -182,7 +188,7 @@
 
     def test_taking_an_end_back_that_was_read_is_found(self) -> None:
         with (
-            mock.patch.object(TargetRegistry, "apply_copy", _copied_back),
+            mock.patch.object(TargetRegistry, "apply_copy", _apply_all),
             self.assertRaisesRegex(AssertionError, "sends to"),
         ):
             explore(TargetViewWalk, examples=EXAMPLES)
--- a/tests/test_target_views.py
+++ b/tests/test_target_views.py
@@ -1,4 +1,4 @@
-"""What nodes believe of targets after the store was away, read, copied and read on."""
+"""What nodes list as targets after an outage of the store, when they read, copy and read again."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 FIRST, SECOND, THIRD = NAMES
 _SETTLED_SECONDS = 8.0
-"""Longer than a respite and the turns after it."""
+"""Longer than a grace period and the updates after it."""
 
 
 class TargetViewCase(unittest.TestCase):
@@ -31,11 +31,13 @@
         self.fleet.wait(_SETTLED_SECONDS)
 
     def events(self, target: str) -> list[tuple[str, str]]:
-        """Return the events of a target's log lines, and who told of them, in order."""
+        """Return the events of a target's log lines, each with the node named in `told_by`, in
+        order."""
         return [(e["event"], e["told_by"]) for e in self.lines if e.get("target") == target]
 
     def end_in_outage(self, target: str) -> None:
-        """End a target while the store is away; the first node alone has it back first."""
+        """End a target while the store is down; only the first node can reach it at first
+        afterwards."""
         fleet = self.fleet
         fleet.store.down = True
         fleet.wait(2.5)
@@ -51,13 +53,13 @@
 
 
 class TestEndAfterOutage(TargetViewCase):
-    """An entry that ended in an outage got work for ten seconds after its end.
+    """An entry that ended in an outage received work for ten seconds after its end.
 
-    Sequence: the reader lost the store, read the end once it was back, and held the
-    entry as lapsed (`target entry lapsed`, 2.3 s).  Another target's entry changed, so
-    others copied its list meanwhile, as of a row behind the end (`targets copied`).
-    Then they read on for themselves from that row, and were never told of the end again.
-    Cause: a copy did not say which entries were held, so they were settled for good.
+    Failure: after an outage the reader read the end and held the entry as lapsed (`target entry
+    lapsed`, 2.3 s). Another target's entry changed, so other nodes copied the reader's list, whose
+    row was later than the end (`targets copied`). They then read on from that row, so no read
+    reported the end again, and as a copy did not say which entries were held, they kept the entry
+    for good.
     """
 
     def test_an_end_that_was_copied_in_its_respite_is_not_forgotten(self) -> None:
@@ -78,8 +80,8 @@
         others = [frozenset((FIRST, name)) for name in (SECOND, THIRD)]
         fleet.nodes[FIRST].cut_off = True
         fleet.wait(1.0)
-        # The first node alone lost the store, and reaches nobody either.
-        fleet.parted.update(others)
+        # Only the first node lost the store, and it reaches no other node.
+        fleet.partitions.update(others)
         fleet.wait(1.5)
         fleet.store.end("x")
         fleet.wait(1.0)
@@ -87,7 +89,7 @@
         fleet.nodes[FIRST].cut_off = False
         fleet.wait(1.0)
         self.assertIn(("target entry lapsed", "platform"), self.events("x"))
-        fleet.parted.clear()
+        fleet.partitions.clear()
         for _ in range(20):
             fleet.wait(0.1)
             self.assertEqual(fleet.nodes[SECOND].lists, {"y"})
@@ -99,7 +101,8 @@
         self.end_in_outage("x")
         self.fleet.store.enter("z")
         self.fleet.wait(1.0)
-        # The node that holds the entry loses the store anew, and relies on those that copied it.
+        # The node that holds the entry loses the store again, and copies from nodes that copied
+        # from it.
         self.fleet.nodes[FIRST].cut_off = True
         for name in (SECOND, THIRD):
             self.fleet.nodes[name].cut_off = False
@@ -111,7 +114,7 @@
 
     def test_a_node_that_lost_nothing_holds_no_end(self) -> None:
         fleet = self.fleet
-        # The first node is away for less than the others notice.
+        # The first node is disconnected for less time than the others need to notice.
         fleet.nodes[FIRST].cut_off = True
         while not self._lost(FIRST):
             fleet.wait(0.05)
@@ -137,12 +140,12 @@
 
 
 class TestReaderStartedAnew(TargetViewCase):
-    """A reader that started anew looked as if its list were the one copied before.
+    """The list of a restarted reader looked like the one that had been copied before.
 
-    Sequence: the reader was killed and back before its neighbours missed it; meanwhile
-    one target ended and another came.  Its new list had as many changes behind it, so
-    the same serial, and nobody copied it.
-    Cause: a serial was compared without the life of the node that counted it.
+    Failure: the reader was killed and restarted before its neighbours noticed. In the meantime one
+    target ended and another one started, so its new list had the same number of changes, thus the
+    same serial, and no node copied it. A serial was compared without the process instance that
+    counted it.
     """
 
     def test_the_list_of_a_new_life_is_copied_under_an_equal_serial(self) -> None:
--- a/tests/test_target_views_held.py
+++ b/tests/test_target_views_held.py
@@ -1,4 +1,4 @@
-"""What nodes hold of targets that ended, where the store goes away again or a node woke."""
+"""Which ended targets nodes hold when the store fails again or a node resumes after a pause."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class TestHeldEntries(_Case):
-    """An entry is held for a respite, or was believed before a pause, while no reading comes."""
+    """Entries in a grace period, or known since before a pause, while no read succeeds."""
 
     def test_a_respite_ends_though_the_store_is_away_again(self) -> None:
-        """The store is back for a second, and away again for long.
+        """The store is back for one second, and then down for long.
 
-        Sequence: the reader reads the end of x and holds it (`target entry lapsed`, 2.3 s);
-        the store goes away; each turn of the feed ends in a failed reading, which comes
-        before the tick that gives up what is over.  So x gets work for as long as the
-        store is away.  Cause: a respite is judged at readings that work only.
+        Failure: the reader reads the end of x and holds it (`target entry lapsed`, 2.3 s), and the
+        store goes down. Each update then ends in a failed read before expired entries are dropped,
+        so x receives work for as long as the store is down. Grace periods were checked only in
+        successful reads.
         """
         self.end_in_outage("x")
         self.assertIn(("target entry lapsed", "platform"), self.events("x"))
@@ -26,10 +26,10 @@
         self.assertEqual(self.fleet.nodes[FIRST].lists, {"y"})
 
     def test_a_service_that_lapsed_whole_is_kept_while_the_store_is_away_again(self) -> None:
-        """All entries of a service lapse in an outage, the store is back for a second only.
+        """All entries of a service expire in an outage, and the store is back only for one second.
 
-        Sequence: giving all of them up by the clock would leave callers without any target,
-        though these live: the store lost them, and they cannot write their entries anew.
+        Dropping all of them after the grace period would leave callers without any target although
+        these targets are alive: the store lost the entries, and they cannot write them again.
         """
         fleet = self.fleet
         fleet.store.down = True
@@ -49,12 +49,12 @@
         self.assertEqual(self.lists(), dict.fromkeys(NAMES, {"x"}))
 
     def test_who_lost_the_store_too_holds_what_lapses_after_its_first_copy(self) -> None:
-        """All nodes lose the store; an entry lapses 0.8 s after its return, for a second.
+        """All nodes lose the store; an entry expires 0.8 s after its return, for one second.
 
-        Sequence: the others rely on the reader again, which clears that they lost the
-        store; then the reader reads the end within its respite and holds it, and the
-        others copy its list and drop the entry at once.  Cause: that a node lost the
-        store lasts until its first copy, the reader's respite 2.3 s.
+        Failure: the others copied from the reader again, which reset that they had lost the store.
+        Then the reader read the end in its grace period and held the entry, but the others copied
+        its list and dropped the entry at once. Their state of an outage ended with the first copy,
+        the reader's grace period only after 2.3 s.
         """
         fleet = self.fleet
         fleet.store.down = True
@@ -73,10 +73,10 @@
         self.assertEqual(lacking, set())
 
     def test_a_node_that_woke_while_the_store_turns_it_away_follows_its_neighbours(self) -> None:
-        """A node wakes from a pause while the store answers the others, but not it.
+        """A node resumes after a pause while the store answers the others but not this node.
 
-        Sequence: the pause sets `stale`, which only a reading of its own clears; until
-        then it asks no neighbour for the targets' list, though the reader has it.
+        Failure: the pause sets `stale`, which only a read by the node itself resets. Until then it
+        requested no copy of the targets from its neighbours, although the reader has it.
         """
         fleet = self.fleet
         node = fleet.nodes[SECOND]
