--- a/tests/test_web_client.py
+++ b/tests/test_web_client.py
@@ -1,4 +1,4 @@
-"""The client's side of HTTP/1.1, against targets that answer wrongly."""
+"""The HTTP/1.1 client, with servers that send invalid, truncated or no responses."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 BODY = b"the whole answer"
-GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY
-CHUNK_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-CHUNKED = CHUNK_HEAD + b"4\r\nthe \r\nc\r\nwhole answer\r\n0\r\n\r\n"
-UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\n" + BODY
+WITH_LENGTH = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED = CHUNKED_HEAD + b"4\r\nthe \r\nc\r\nwhole answer\r\n0\r\n\r\n"
+UNTIL_CLOSE = b"HTTP/1.1 200 OK\r\n\r\n" + BODY
 TIMEOUTS = Timeouts(connect=2.0, whole=2.0)
 
 
@@ -60,17 +60,17 @@
         reply = await self.client.call(self.address, REQUEST, timeouts=TIMEOUTS)
         return reply.body
 
-    async def test_every_framing_gives_the_whole_body(self) -> None:
-        for answer in (GOOD, CHUNKED, UNFRAMED):
+    async def test_each_framing_gives_the_complete_body(self) -> None:
+        for answer in (WITH_LENGTH, CHUNKED, UNTIL_CLOSE):
             self.assertEqual(await self._call(answer), BODY)
 
-    async def test_a_body_without_length_that_is_reset_is_not_whole(self) -> None:
+    async def test_a_reset_body_without_a_length_is_incomplete(self) -> None:
         self.reset = True
         with self.assertRaises(ExchangeError) as caught:
-            await self._call(UNFRAMED)
+            await self._call(UNTIL_CLOSE)
         self.assertTrue(caught.exception.sent)
 
-    async def test_a_short_body_and_a_cut_chunk_are_not_whole(self) -> None:
+    async def test_a_short_body_and_a_truncated_chunked_body_are_incomplete(self) -> None:
         for answer in (
             b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n" + BODY,
             CHUNKED[: -len(b"0\r\n\r\n")],
@@ -78,32 +78,32 @@
             with self.assertRaises(ExchangeError):
                 await self._call(answer)
 
-    async def test_a_connection_with_surplus_bytes_is_not_used_again(self) -> None:
-        self.assertEqual(await self._call(GOOD + GOOD), BODY)
+    async def test_a_connection_with_surplus_bytes_is_not_reused(self) -> None:
+        self.assertEqual(await self._call(WITH_LENGTH + WITH_LENGTH), BODY)
         await asyncio.sleep(0)
-        self.assertEqual(await self._call(GOOD), BODY)
+        self.assertEqual(await self._call(WITH_LENGTH), BODY)
         self.assertEqual(self.accepted, 2)
 
-    async def test_a_kept_connection_is_used_again(self) -> None:
+    async def test_an_idle_connection_is_reused(self) -> None:
         for _ in range(3):
-            self.assertEqual(await self._call(GOOD), BODY)
+            self.assertEqual(await self._call(WITH_LENGTH), BODY)
         self.assertEqual(self.accepted, 1)
 
-    async def test_an_exchange_tells_whether_its_connection_was_kept(self) -> None:
-        found = []
-        self.answers = [GOOD, GOOD]
+    async def test_an_exchange_reports_whether_its_connection_is_reused(self) -> None:
+        reused = []
+        self.answers = [WITH_LENGTH, WITH_LENGTH]
         for _ in range(2):
             exchange = await self.client.begin(self.address, REQUEST, connect_seconds=2.0)
-            found.append(exchange.kept)
+            reused.append(exchange.kept)
             await exchange.body()
-        self.assertEqual(found, [False, True])
+        self.assertEqual(reused, [False, True])
 
-    async def test_no_connection_means_that_nothing_was_sent(self) -> None:
+    async def test_a_failed_connect_sends_nothing(self) -> None:
         with self.assertRaises(ExchangeError) as caught:
             await self.client.call(f"{HOST}:{free_port()}", REQUEST, timeouts=TIMEOUTS)
         self.assertFalse(caught.exception.sent)
 
-    async def test_a_target_has_no_more_connections_than_it_may(self) -> None:
+    async def test_the_connections_to_an_address_are_limited(self) -> None:
         self.answers = []
         first = await self.client.begin(
             self.address, REQUEST, connect_seconds=2.0, max_connections=1
@@ -113,11 +113,11 @@
         self.assertFalse(caught.exception.sent)
         first.cancel()
 
-    async def test_any_spoilt_answer_ends_the_call(self) -> None:
+    async def test_a_corrupted_answer_ends_the_call(self) -> None:
         rng = random.Random(3)
         short = Timeouts(connect=2.0, whole=0.3)
         for _ in range(120):
-            data = bytearray(rng.choice((GOOD, CHUNKED, UNFRAMED)))
+            data = bytearray(rng.choice((WITH_LENGTH, CHUNKED, UNTIL_CLOSE)))
             for _ in range(rng.randint(1, 3)):
                 data[rng.randrange(len(data))] = rng.randrange(256)
             self.answers = [bytes(data)]
@@ -128,14 +128,12 @@
 
 
 class SilentTest(unittest.IsolatedAsyncioTestCase):
-    """Kept connections fall silent together, without a reset; new ones work.
-
-    Symptom: after the connections to the store had fallen silent, a long poll was given
-    up and its reading repeated, and that was not answered either (`long poll given up
-    seconds=1.901`, the catalog taken at an age of 2.3 s and not 1.9 s).  Sequence: the
-    call that timed out closed its own connection; the next call took another one that
-    had rested since before, which was as silent.  Cause: a call without an answer cast no
-    doubt on the connections kept beside it.
+    """Idle connections to an address stop responding together without a reset; new ones work.
+
+    Guards against a second timeout after the first: a call that timed out closed only its
+    own connection, and the next call reused another idle one that did not respond either.
+    The repeated read of a long poll then timed out as well (`long poll given up
+    seconds=1.901`), and the catalog was applied at an age of 2.3 s instead of 1.9 s.
     """
 
     async def asyncSetUp(self) -> None:
@@ -154,7 +152,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while await reader.readuntil(b"\r\n\r\n"):
-                writer.write(GOOD)
+                writer.write(WITH_LENGTH)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -164,7 +162,7 @@
         timeouts = Timeouts(connect=2.0, whole=seconds)
         return (await self.client.call(self.address, REQUEST, timeouts=timeouts)).body
 
-    async def test_a_call_without_an_answer_casts_doubt_on_connections_kept_beside_it(self) -> None:
+    async def test_a_timeout_closes_the_other_idle_connections(self) -> None:
         self.assertEqual(await asyncio.gather(*(self._call() for _ in range(3))), [BODY] * 3)
         self.assertEqual(self.relay.silence(), 3)
         with self.assertRaises(ExchangeError) as caught:
@@ -172,15 +170,15 @@
         self.assertEqual(caught.exception.reason, "timeout")
         self.assertEqual(await self._call(), BODY)
 
-    async def test_a_connection_that_has_answered_since_is_kept(self) -> None:
+    async def test_a_timeout_keeps_a_connection_that_has_answered_since(self) -> None:
         await asyncio.gather(self._call(), self._call())
         self.relay.silence()
-        hung = asyncio.ensure_future(self._call(0.5))
+        timed_out = asyncio.ensure_future(self._call(0.5))
         await asyncio.sleep(0.05)
         self.client.close_idle(self.address)
         await self._call()
         opened = self.relay.opened
         with self.assertRaises(ExchangeError):
-            await hung
+            await timed_out
         self.assertEqual(await self._call(), BODY)
         self.assertEqual(self.relay.opened, opened)
