--- a/packages/node/src/fielddrift_node/filters/admit.py
+++ b/packages/node/src/fielddrift_node/filters/admit.py
@@ -1,4 +1,4 @@
-"""Choose a target for a completion, and admit the request by its estimate and quota."""
+"""Choose a target for a completion, and admit the request by estimate and fair share."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def admit(exchange: Exchange) -> Result[Exchange, Refusal]:
-    """Choose a target, and refuse a request that would miss its deadline or exceed its quota."""
+    """Choose a target; refuse what would miss the deadline or exceed the customer's share."""
     assert exchange.need is not None
     runtime = exchange.runtime
     choice = choose_target(exchange)
--- a/packages/node/src/fielddrift_node/filters/identify.py
+++ b/packages/node/src/fielddrift_node/filters/identify.py
@@ -1,4 +1,4 @@
-"""Identify the customer of a request by its bearer_key key."""
+"""Identify the customer of a request by its bearer key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def bearer_key(authorization: str) -> str:
-    """Return the key in the value of an Authorization header, empty if it has no bearer_key key."""
+    """Return the key in the value of an Authorization header, empty if it has no bearer key."""
     return authorization[len(_SCHEME_PREFIX) :] if authorization.startswith(_SCHEME_PREFIX) else ""
 
 
--- a/packages/node/src/fielddrift_node/filters/locate.py
+++ b/packages/node/src/fielddrift_node/filters/locate.py
@@ -14,7 +14,7 @@
 __all__ = ["BYTES_PER_TOKEN", "locate"]
 
 BYTES_PER_TOKEN = 4
-"""Estimated length of a token, for counting the tokens of a prompt without its tokenizer."""
+"""Estimated bytes of prompt text per token."""
 
 
 def locate(exchange: Exchange) -> Result[Exchange, Refusal]:
--- a/packages/node/src/fielddrift_node/filters/parse.py
+++ b/packages/node/src/fielddrift_node/filters/parse.py
@@ -23,7 +23,7 @@
 _KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,128}")
 _MAX_DEADLINE_SECONDS = 3600.0
 _JSON_OVERHEAD_BYTES = 65_536
-"""Size of a completion body beyond the prompt: the other fields and JSON escapes."""
+"""Bytes that the body of a completion may have in addition to the limit of the prompt."""
 _MAX_PRIORITY = 9
 
 
--- a/packages/node/src/fielddrift_node/web/client.py
+++ b/packages/node/src/fielddrift_node/web/client.py
@@ -462,7 +462,7 @@
             refused = isinstance(error, ConnectionRefusedError)
             raise ExchangeError(detail, sent=False, reason="connect", refused=refused) from None
         finally:
-            # `_lost` uncounts a connection that came up and was then abandoned.
+            # `_lost` decrements the count for a connection that came up and was then abandoned.
             if connection is None:
                 self._count_closed(address)
         return opened_connection
--- a/packages/node/src/fielddrift_node/web/server.py
+++ b/packages/node/src/fielddrift_node/web/server.py
@@ -32,7 +32,10 @@
 _MAX_PIPELINED_COUNT = 4
 """Pipelined requests of a connection that may be queued before reading from it pauses."""
 _TCP_USER_TIMEOUT_MS = 4000
-"""How long sent bytes may stay unacknowledged: a peer that lost power sends no reset."""
+"""A connection is closed if sent bytes stay unacknowledged for this long.
+
+A peer that lost power never answers, not even with a reset.
+"""
 _LISTEN_BACKLOG_COUNT = 1024
 _FIELD_OVERHEAD_BYTES = 4
 """Bytes of a header field besides its name and value: colon, space and line end."""
@@ -323,7 +326,7 @@
         self._head_bytes += 0 if self._head_complete else len(data)
         try:
             self._parser.feed_data(data)
-            # The parser calls on_header only at the end of a field, so check endless ones here.
+            # The parser calls on_header only at the end of a field; this bounds an endless one.
             if not self._head_complete and self._head_bytes > self._limits.header_bytes + len(data):
                 raise _BadRequest(431, "header: larger than the limit")
         except httptools.HttpParserCallbackError as error:
