--- a/tests/test_platform_rules.py
+++ b/tests/test_platform_rules.py
@@ -1,4 +1,4 @@
-"""The promises of the users' platform, each with the failure that would break it."""
+"""Each rule of the users' platform holds in the presence of the failure that would break it."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
         self.one = await self.fleet.worker(Worker(name="w1"), "plain")
         self.node = await self.fleet.node()
 
-    async def test_an_answer_comes_back_unchanged_with_its_mark(self) -> None:
+    async def test_a_response_is_returned_unchanged_with_its_seal(self) -> None:
         answer = await ask(self.node, "/safe/x?y=1", request_id="r7")
         self.assertEqual((answer.status, answer.body), (200, b"answer of w1"))
         self.assertEqual(answer.headers["x-response-seal"], "w1.r7")
         ran = self.one.ran[0]
         self.assertEqual((ran.target, ran.body, ran.request_id), ("/safe/x?y=1", b"ask", "r7"))
 
-    async def test_the_target_learns_the_customer_and_never_the_key(self) -> None:
+    async def test_the_target_receives_the_customer_and_never_the_key(self) -> None:
         forged = {"X_Tenant": "eve", "X_Hold": "h", "X_Kv_Backup": "1.2.3.4:5", "Kv_From": "x"}
         await ask(self.node, "/safe/x", **forged)
         headers = self.one.ran[0].headers
         self.assertEqual(headers["x-tenant"], "ana")
         self.assertFalse({"x-credential", "x-hold", "x-kv-backup", "kv-from"} & set(headers))
 
-    async def test_the_time_that_is_left_goes_along(self) -> None:
+    async def test_the_remaining_time_is_sent_to_the_target(self) -> None:
         await ask(self.node, "/safe/x", deadline_ms=700)
         self.assertLessEqual(int(self.one.ran[0].headers["x-deadline-ms"]), 700)
 
@@ -56,7 +56,7 @@
     async def test_an_anonymous_route_needs_no_key(self) -> None:
         self.assertEqual((await ask(self.node, "/open/x", key="")).status, 200)
 
-    async def test_a_lost_answer_of_unsafe_work_is_never_sent_again_nor_promised(self) -> None:
+    async def test_unsafe_work_with_a_lost_response_is_not_retried_nor_called_not_run(self) -> None:
         other = await self.fleet.worker(Worker(name="w2"), "plain")
         self.one.faults, other.faults = ["lost"], ["lost"]
         answer = await ask(self.node, "/unsafe/x")
@@ -68,14 +68,14 @@
         answer = await ask(self.node, "/unsafe/x", deadline_ms=300)
         self.assertEqual(answer.status, 504)
 
-    async def test_unsafe_work_that_was_turned_away_is_refused_with_a_time(self) -> None:
+    async def test_unsafe_work_that_its_target_refuses_is_refused_with_a_retry_time(self) -> None:
         self.one.faults = ["shed", "shed"]
         answer = await ask(self.node, "/unsafe/x")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["retry-after"]), 0)
         self.assertEqual(self.one.ran, [])
 
-    async def test_safe_work_goes_elsewhere_after_a_failure(self) -> None:
+    async def test_safe_work_is_retried_on_another_target_after_a_failure(self) -> None:
         other = await self.fleet.worker(Worker(name="w2"), "plain")
         await eventually(lambda: len(self.node.node.views.registry) == 2)
         for fault in ("error", "lost", "garbage"):
@@ -85,18 +85,18 @@
             second = await ask(self.node, "/safe/x")
             self.assertEqual((first.status, second.status), (200, 200), fault)
 
-    async def test_an_answer_of_another_request_is_not_passed_on(self) -> None:
+    async def test_a_response_to_another_request_is_not_forwarded(self) -> None:
         self.one.faults = ["surplus"]
         answer = await ask(self.node, "/unsafe/x")
         self.assertEqual(answer.body, b"the right answer")
 
-    async def test_bytes_after_an_answer_belong_to_no_request(self) -> None:
+    async def test_bytes_after_a_response_belong_to_no_request(self) -> None:
         self.one.faults = ["extra"]
         self.assertEqual((await ask(self.node, "/safe/x")).body, b"whole")
         for _ in range(3):
             self.assertEqual((await ask(self.node, "/safe/x")).body, b"answer of w1")
 
-    async def test_a_caller_that_leaves_ends_the_work(self) -> None:
+    async def test_work_is_cancelled_when_its_caller_disconnects(self) -> None:
         self.one.faults = ["hang"]
         host, _, port = self.node.settings.entry.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
@@ -105,7 +105,7 @@
         writer.close()
         await eventually(lambda: self.one.left == ["gone"])
 
-    async def test_another_target_at_the_address_does_not_run_it(self) -> None:
+    async def test_another_target_at_the_address_does_not_run_the_request(self) -> None:
         self.one.name = "w9"
         answer = await ask(self.node, "/unsafe/x")
         self.assertEqual(answer.status, 503)
@@ -121,7 +121,7 @@
     async def _status(self, data: bytes) -> bytes:
         return (await send_raw(self.node.settings.entry, data)).partition(b"\r\n")[0]
 
-    async def test_two_lengths_or_a_length_and_chunks_end_the_connection(self) -> None:
+    async def test_invalid_or_conflicting_framing_headers_are_refused(self) -> None:
         head = b"POST /safe/x HTTP/1.1\r\nHost: fleet.example\r\nX-Request-Id: a\r\n"
         smuggled = b"0\r\n\r\nGET /safe/smuggled HTTP/1.1\r\nHost: fleet.example\r\n\r\n"
         for fields in (
@@ -137,12 +137,12 @@
 
     async def test_a_header_or_a_body_over_the_limit_is_refused(self) -> None:
         head = b"POST /safe/x HTTP/1.1\r\nHost: fleet.example\r\nX-Request-Id: a\r\n"
-        long = b"X-Long: " + b"x" * 8000 + b"\r\n\r\n"
-        self.assertIn(b"431", await self._status(head + long))
+        long_header = b"X-Long: " + b"x" * 8000 + b"\r\n\r\n"
+        self.assertIn(b"431", await self._status(head + long_header))
         self.assertIn(b"413", await self._status(head + b"Content-Length: 99999999\r\n\r\n"))
         self.assertEqual(self.one.ran, [])
 
-    async def test_requests_in_a_row_on_one_connection_are_answered_in_order(self) -> None:
+    async def test_pipelined_requests_are_answered_in_order(self) -> None:
         data = b"".join(
             request("/safe/x", request_id=f"r{n}", **({} if n == 2 else {"Connection": ""}))
             for n in range(3)
@@ -152,7 +152,7 @@
         self.assertEqual(sorted(seals), seals)
         self.assertGreater(seals[0], 0)
 
-    async def test_a_doubled_header_that_decides_is_refused(self) -> None:
+    async def test_a_duplicate_request_id_header_is_refused(self) -> None:
         data = request("/safe/x").replace(b"\r\n\r\n", b"\r\nX-Request-Id: r2\r\n\r\n", 1)
         self.assertIn(b"400", await self._status(data))
         self.assertEqual(self.one.ran, [])
@@ -169,15 +169,15 @@
     def _events(self, body: bytes) -> list[int]:
         return [int(e.split(b"\n")[0][4:]) for e in body.split(b"\n\n") if e]
 
-    async def test_events_come_through_whole(self) -> None:
+    async def test_events_are_forwarded_completely(self) -> None:
         answer = await ask(self.node, "/chat/x", **prompt())
         self.assertEqual(self._events(answer.body), [1, 2, 3, 4, 5])
         self.assertEqual(answer.headers["whole"], "yes")
 
-    async def test_what_cannot_be_in_time_is_sent_away_at_once_and_has_not_run(self) -> None:
-        crowd = {name: Burden(20, 200_000, 100_000) for name in ("e1", "e2")}
+    async def test_a_prompt_that_cannot_be_in_time_is_refused_at_once_and_not_run(self) -> None:
+        full_load = {name: Burden(20, 200_000, 100_000) for name in ("e1", "e2")}
         now = asyncio.get_running_loop().time()
-        self.node.node.views.workload.update_node("another-node", crowd, now)
+        self.node.node.views.workload.update_node("another-node", full_load, now)
         answer = await ask(self.node, "/chat/x", **prompt())
         self.assertEqual(answer.status, 503)
         self.assertLessEqual(float(answer.headers["retry-after"]), 1.0)
@@ -185,7 +185,7 @@
         self.node.node.views.workload.update_node("another-node", {}, now)
         self.assertEqual((await ask(self.node, "/chat/x", **prompt())).status, 200)
 
-    async def test_a_cut_run_goes_on_elsewhere_behind_the_last_whole_event(self) -> None:
+    async def test_a_cut_run_is_resumed_elsewhere_after_its_last_complete_event(self) -> None:
         self.one.faults, self.two.faults = ["cut-event"], []
         for number in range(4):
             self.two.faults = ["cut-event"] if number % 2 else []
@@ -204,7 +204,7 @@
         self.assertGreater(len(self.one.ran + self.two.ran), 6)
 
     async def test_a_caller_that_lacks_only_the_end_gets_it(self) -> None:
-        """Each engine ended such an answer well, and counted as failing for it."""
+        """Engines ended such a response correctly, but this was counted as a failure of theirs."""
         answer = await ask(self.node, "/chat/x", Last_Event_Id="5", **prompt())
         self.assertEqual((answer.status, answer.body), (200, b""))
         self.assertEqual(answer.headers.get("whole"), "yes")
@@ -233,13 +233,13 @@
         self.assertNotIn(b"0\r\n\r\n", raw)
         self.assertEqual(len(self.one.ran) + len(self.two.ran), 1)
 
-    async def test_a_send_names_its_weights_and_the_salt_names_them_too(self) -> None:
+    async def test_a_send_and_its_cache_salt_name_the_weights(self) -> None:
         await ask(self.node, "/chat/x", **prompt())
         ran = (self.one.ran + self.two.ran)[0]
         self.assertEqual(ran.headers["x-expect-version"], "1")
         self.assertEqual(ran.headers["x-cache-salt"], "m.1.")
 
-    async def test_shared_parts_are_saved_once_and_fetched_when_they_are_whole(self) -> None:
+    async def test_shared_parts_are_saved_once_and_fetched_when_complete(self) -> None:
         store_index = self.node.node.views.store_index
         await eventually(
             lambda: all(view.is_known for view in store_index.views) and bool(store_index.views)
@@ -257,7 +257,7 @@
         self.assertEqual(last.headers["x-kv-fetch"], f"{address},{address},-")
         self.assertIn("x-kv-until", last.headers)
 
-    async def test_a_restarted_store_is_listed_anew_before_anything_is_fetched(self) -> None:
+    async def test_a_restarted_store_is_listed_again_before_any_fetch(self) -> None:
         store_index = self.node.node.views.store_index
         self.fleet.kv.keep("m.1.", "aa", 100)
         await eventually(lambda: bool(store_index.views) and len(store_index.views[0].held) == 1)
@@ -285,14 +285,14 @@
     def _versions(self) -> list[int]:
         return [worker.version for worker in self.fleet.workers.values()]
 
-    async def test_named_weights_reach_all_engines_with_one_holder_and_rising_fences(self) -> None:
+    async def test_named_weights_reach_all_engines_with_one_lease_holder(self) -> None:
         await self.fleet.node("node-2")
         self.fleet.store.put("op", "version/m", {"model": "m", "version": 2})
         await eventually(lambda: self._versions() == [2, 2, 2, 2])
         orders = [o for w in self.fleet.workers.values() for o in w.orders]
         self.assertEqual({o["holder"] for o in orders}, {orders[0]["holder"]})
 
-    async def test_an_order_that_was_not_answered_is_given_again(self) -> None:
+    async def test_an_order_without_a_response_is_repeated(self) -> None:
         self.fleet.workers["e2"].unanswered_orders = 1
         self.fleet.store.put("op", "version/m", {"model": "m", "version": 2})
         await eventually(lambda: self._versions() == [2, 2, 2, 2])
@@ -320,14 +320,14 @@
         self.one = await self.fleet.worker(Worker(name="w1"), "plain")
         self.node = await self.fleet.node()
 
-    async def test_a_key_that_was_taken_away_stops_working(self) -> None:
+    async def test_a_revoked_key_is_refused(self) -> None:
         self.fleet.keys = ["another"]
         self.fleet.configure()
         version = self.fleet.version
         await eventually(lambda: self.node.node.views.catalog.version == version)
         self.assertEqual((await ask(self.node, "/safe/x")).status, 401)
 
-    async def test_an_older_configuration_is_never_taken(self) -> None:
+    async def test_an_older_configuration_is_never_applied(self) -> None:
         self.fleet.configure()
         newest = self.fleet.version
         await eventually(lambda: self.node.node.views.catalog.version == newest)
@@ -336,7 +336,7 @@
         await asyncio.sleep(0.2)
         self.assertEqual(self.node.node.views.catalog.version, newest)
 
-    async def test_serving_goes_on_while_the_store_is_away_and_its_history_gone(self) -> None:
+    async def test_serving_continues_in_a_store_outage_that_loses_the_history(self) -> None:
         self.fleet.store.down = True
         for number in range(5):
             self.assertEqual((await ask(self.node, "/safe/x", request_id=f"{number}")).status, 200)
@@ -346,7 +346,7 @@
         version = self.fleet.version
         await eventually(lambda: self.node.node.views.catalog.version == version)
 
-    async def test_a_leaving_target_gets_no_new_work(self) -> None:
+    async def test_a_draining_target_gets_no_new_work(self) -> None:
         two = await self.fleet.worker(Worker(name="w2"), "plain")
         self.fleet.enter("w1", "plain", "draining")
         await eventually(lambda: "w1" in self.node.node.views.registry.leaving())
@@ -356,7 +356,7 @@
             await ask(self.node, "/safe/x", request_id=f"{number}")
         self.assertEqual((len(self.one.ran), len(two.ran)), (before, 6))
 
-    async def test_entries_that_lapse_in_an_outage_are_not_given_up_at_once(self) -> None:
+    async def test_entries_that_lapse_in_an_outage_are_not_removed_at_once(self) -> None:
         self.fleet.store.down = True
         await asyncio.sleep(1.3)
         self.fleet.store.drop("servers", "w1")
@@ -367,14 +367,14 @@
 
 
 class TestCutOff(FleetCase):
-    """One node alone is cut off from the store; it lives by what its neighbours know."""
+    """One node alone is partitioned from the store and copies the views of its neighbours."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         await self.fleet.worker(Worker(name="w1"), "plain")
         address = f"{HOST}:{free_port()}"
         self.door = await self.fleet.store.door(HOST, int(address.rpartition(":")[2]))
-        # The node that is cut off is the one that reads for the others.
+        # The partitioned node is the one that reads the store for the others.
         reader, *others = rank(READER_KEY, [(f"node-{n}", 1.0) for n in (1, 2, 3)])
         self.cut = await self.fleet.node(reader, store=address)
         self.others = [await self.fleet.node(name) for name in others]
@@ -384,8 +384,8 @@
         await super().asyncTearDown()
         self.door.close()
 
-    async def _falls_not_behind(self) -> None:
-        # Long enough for what the node itself has read to grow old.
+    async def _check_stays_current(self) -> None:
+        # Long enough for what the node itself has read to become stale.
         await asyncio.sleep(1.5)
         self.fleet.configure()
         version = self.fleet.version
@@ -395,31 +395,32 @@
         async with asyncio.timeout(3.0):
             await eventually(lambda: self.cut.node.views.registry.get("w2") is not None)
 
-    async def test_a_node_that_the_store_turns_away_takes_what_others_know(self) -> None:
+    async def test_a_node_that_the_store_refuses_copies_the_views_of_others(self) -> None:
         self.door.turned_away = True
-        await self._falls_not_behind()
+        await self._check_stays_current()
 
-    async def test_a_node_whose_calls_are_not_answered_takes_what_others_know(self) -> None:
+    async def test_a_node_whose_store_calls_hang_copies_the_views_of_others(self) -> None:
         self.door.held = True
-        await self._falls_not_behind()
+        await self._check_stays_current()
 
     async def test_after_relying_on_others_a_target_that_went_gets_no_respite(self) -> None:
         registry = self.cut.node.views.registry
         loop = asyncio.get_running_loop()
         self.door.turned_away = True
-        await self._falls_not_behind()
-        # The reading that failed at first counts as an outage until others have read for long.
+        await self._check_stays_current()
+        # The first failed read counts as an outage until other nodes have read for long enough.
         await eventually(lambda: not registry.in_grace_period(loop.time()))
         self.door.turned_away = False
-        # A fetch from another node may have failed meanwhile, and a reading in its place: the
-        # next reading, its own or another's, is the end of that outage and begins a respite.
+        # A copy from another node may have failed meanwhile, and the read of the store in its
+        # place too.  The next successful read, by this node or another, ends that outage and
+        # starts a grace period.
         feed = self.cut.node._targets
         await eventually(
             lambda: feed._outage_at is None and not registry.in_grace_period(loop.time())
         )
         for node in self.others:
             await node.stop()
-        # The first reading of its own finds the entry gone; that was no outage.
+        # The node's first own read finds that the entry is gone, which is not an outage.
         held: list[bool] = []
         entry_ended = registry.entry_ended
 
@@ -430,10 +431,10 @@
         with mock.patch.object(registry, "entry_ended", note_end):
             self.fleet.store.drop("servers", "w2")
             await eventually(lambda: registry.get("w2") is None)
-        # The reading that found it gone ended it, however long that reading took to come.
+        # The read that found the entry gone removed it, however long that read took.
         self.assertEqual(held, [False])
 
-    async def test_what_a_node_believes_tells_from_whom_and_how_old(self) -> None:
+    async def test_the_beliefs_page_shows_the_reader_and_the_age_of_views(self) -> None:
         page = json.loads((await get(self.cut.settings.metrics, "/beliefs")).body)
         self.assertEqual((page["node"], page["reader"]), (self.cut.settings.name, ""))
         self.assertEqual(page["catalog"], self.fleet.version)
@@ -446,9 +447,9 @@
         text = (await get(self.cut.settings.metrics, "/metrics")).body.decode()
         self.assertIn("fielddrift_operators_age_seconds", text)
 
-    async def test_it_reads_for_itself_again_when_the_others_are_gone(self) -> None:
+    async def test_it_reads_the_store_again_when_the_others_have_stopped(self) -> None:
         self.door.turned_away = True
-        await self._falls_not_behind()
+        await self._check_stays_current()
         self.door.turned_away = False
         for node in self.others:
             await node.stop()
@@ -470,7 +471,7 @@
         self.assertEqual(answer.status, 503)
         self.assertIn("retry-after", answer.headers)
 
-    async def test_nodes_find_each_other_and_a_stopping_one_leaves_the_answers(self) -> None:
+    async def test_nodes_find_each_other_and_a_stopping_one_is_no_longer_listed(self) -> None:
         await self.fleet.worker(Worker(name="w1", work_seconds=0.2), "plain")
         one, two = await self.fleet.node("node-1"), await self.fleet.node("node-2")
 
@@ -484,7 +485,7 @@
             return await entries() == both
 
         await eventually(has_both)
-        under_way = asyncio.ensure_future(ask(two, "/unsafe/x"))
+        in_flight = asyncio.ensure_future(ask(two, "/unsafe/x"))
         await asyncio.sleep(0.05)
         two.stopping.set()
 
@@ -492,7 +493,7 @@
             return await entries() == [one.settings.entry]
 
         await eventually(has_one)
-        self.assertEqual((await under_way).status, 200)
-        # A caller that kept its answer longer is still served.
+        self.assertEqual((await in_flight).status, 200)
+        # A caller that still uses an older entry response is served.
         late = await ask(two, "/safe/x", request_id="late")
         self.assertEqual((late.status, late.headers["connection"]), (200, "close"))
