--- a/packages/node/src/fielddrift_node/serving/crash_rows.py
+++ b/packages/node/src/fielddrift_node/serving/crash_rows.py
@@ -152,7 +152,7 @@
         try:
             crashes = msgspec.json.decode(row.value, type=_CrashRow)["crashes"]
         except msgspec.DecodeError as error:
-            _log.error("row of crashes not understood", row=row.key, error=str(error))
+            _log.error("row of crashes cannot be decoded", row=row.key, error=str(error))
             crashes = []
         self._saved[row.key] = len(crashes)
         for target, at, ran in crashes:
--- a/packages/node/src/fielddrift_node/serving/named_rows.py
+++ b/packages/node/src/fielddrift_node/serving/named_rows.py
@@ -172,7 +172,7 @@
         try:
             times = msgspec.json.decode(row.value, type=_NamedRow)["times"]
         except msgspec.DecodeError as error:
-            _log.error("row of named weights not understood", row=row.key, error=str(error))
+            _log.error("row of named weights cannot be decoded", row=row.key, error=str(error))
             times = {}
         self._saved[row.key] = _Saved(times, row.version)
         self._views.named_times.restore(row.key, times, clock)
--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose targets crash when they run one request, and callers that ask for it."""
+"""A fleet whose targets crash when they run one request, and callers that send it."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 FATAL = b"the body that ends whoever runs it"
 ALLOWED = 3
-"""Sends that may reach targets once the request is known to have ended three."""
+"""Runs that may start after the request has crashed three targets."""
 SETTLED_SECONDS = 1.0
-"""Time after the third crash in which all nodes must know it: a third of what is promised."""
+"""Time after the third crash in which all nodes must know of it, a third of the promised time."""
 
 
 class CrashingCase(FleetCase):
-    """A test with nodes before targets that a request ends."""
+    """Tests of nodes whose targets crash when they run one request."""
 
     async def targets(
         self, service: str, count: int, *, entry_seconds: float = 2.0, back_seconds: float = 1.0
     ) -> list[Worker]:
-        """Start `count` targets of `service` which come back after a crash."""
+        """Start `count` targets of `service` that return after a crash."""
         events = 3 if service == "engines" else 0
         found = []
         for number in range(count):
@@ -54,7 +54,7 @@
         body: bytes = FATAL,
         **headers: str,
     ) -> list[Answer]:
-        """Ask for `path` at one node after the other for `seconds`; return the answers."""
+        """Send requests for `path` to the nodes in turn for `seconds`; return the answers."""
         turns = itertools.cycle(nodes)
         until = asyncio.get_running_loop().time() + seconds
         answers = []
@@ -72,7 +72,7 @@
         return sorted(found, key=lambda ran: ran.at)
 
     def late_runs(self, body: bytes = FATAL) -> list[Ran]:
-        """Return the runs that began once the third crash must be known everywhere."""
+        """Return the runs that started when all nodes had to know of the third crash."""
         self.assertGreaterEqual(len(self.fleet.crashes), 3, "the request ended fewer than three")
         known = sorted(self.fleet.crashes)[2][0] + SETTLED_SECONDS
         return [ran for ran in self.runs(body) if ran.at > known]
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -1,8 +1,8 @@
-"""Only a request that ends its targets is held back, not one that stands beside.
+"""Only the request that crashes its targets is held back, not other requests on these targets.
 
-A target that ends takes all of its runs with it, an answer can be lost on its way, a link
-can be reset: the caller's side sees the same, a connection that closes before the answer is
-whole.  Each test brings about more of them than a request is held back for.
+A crash ends all runs of a target, but a lost answer or a link reset looks the same to the sender:
+the connection closes before the answer is complete. Each test causes more such failures than the
+number of crashes after which a request is held back.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from .crashing_fleet import FATAL, CrashingCase, chat
 from .platform_fleet import Answer, RunningNode, ask, eventually
 
-_BESIDE = b"the body that stands beside"
+_BYSTANDER_BODY = b"the body that stands beside"
 
 
 class TestBystanders(CrashingCase):
     async def _assert_served(self, node: RunningNode, path: str, **headers: str) -> None:
-        answer = await ask(node, path, request_id="last", body=_BESIDE, **headers)
+        answer = await ask(node, path, request_id="last", body=_BYSTANDER_BODY, **headers)
         self.assertEqual(answer.status, 200, answer.body)
         self.assertEqual(node.node.views.crashes.all_held(0.0), [])
 
@@ -34,7 +34,7 @@
         for worker in workers:
             worker.faults = ["lost", "lost"]
         for number in range(10):
-            await ask(node, "/unsafe/x", request_id=f"b{number}", body=_BESIDE)
+            await ask(node, "/unsafe/x", request_id=f"b{number}", body=_BYSTANDER_BODY)
             await asyncio.sleep(0.1)
         for worker in workers:
             worker.faults = []
@@ -46,7 +46,7 @@
         for worker in workers:
             worker.faults = ["cut-event", "cut-first"]
         for number in range(4):
-            await ask(node, "/verdict/x", request_id=f"b{number}", body=_BESIDE, **chat())
+            await ask(node, "/verdict/x", request_id=f"b{number}", body=_BYSTANDER_BODY, **chat())
             await asyncio.sleep(0.1)
         for worker in workers:
             worker.faults = []
@@ -64,7 +64,7 @@
         (node,) = await self.nodes(1)
         for number in range(6):
             asked = asyncio.ensure_future(
-                ask(node, "/unsafe/x", request_id=f"b{number}", body=_BESIDE)
+                ask(node, "/unsafe/x", request_id=f"b{number}", body=_BYSTANDER_BODY)
             )
             await asyncio.sleep(0.1)
             for link in links:
@@ -80,7 +80,7 @@
         for number in range(8):
             beside += [
                 asyncio.ensure_future(
-                    ask(node, "/unsafe/x", request_id=f"b{number}-{n}", body=_BESIDE)
+                    ask(node, "/unsafe/x", request_id=f"b{number}-{n}", body=_BYSTANDER_BODY)
                 )
                 for n in range(6)
             ]
@@ -91,7 +91,7 @@
         self.assertGreaterEqual(len(self.fleet.crashes), 3)
         held = node.node.views.crashes.all_held(0.0)
         self.assertEqual(len(held), 1)
-        answer = await ask(node, "/unsafe/x", request_id="last", body=_BESIDE)
+        answer = await ask(node, "/unsafe/x", request_id="last", body=_BYSTANDER_BODY)
         self.assertEqual(answer.status, 200)
         self.assertEqual((await ask(node, "/unsafe/x", body=FATAL)).status, 503)
 
@@ -102,9 +102,11 @@
             for other in workers:
                 other.work_seconds = 0.5
             asked = asyncio.ensure_future(
-                ask(node, "/unsafe/x", request_id=f"b{number}", body=_BESIDE)
+                ask(node, "/unsafe/x", request_id=f"b{number}", body=_BYSTANDER_BODY)
+            )
+            await eventually(
+                lambda: any(w.ran and w.ran[-1].body == _BYSTANDER_BODY for w in workers)
             )
-            await eventually(lambda: any(w.ran and w.ran[-1].body == _BESIDE for w in workers))
             busy = next((w for w in workers if not w.closed and w.ran), worker)
             self.fleet.enter(busy.name, "plain", state="draining")
             await eventually(lambda busy=busy: busy.name in node.node.views.registry.leaving())
@@ -119,7 +121,7 @@
         (node,) = await self.nodes(1)
         for number in range(4):
             asked = asyncio.ensure_future(
-                ask(node, "/unsafe/x", request_id=f"b{number}", body=_BESIDE)
+                ask(node, "/unsafe/x", request_id=f"b{number}", body=_BYSTANDER_BODY)
             )
             busy = await self._running(workers, f"b{number}")
             self.fleet.store.drop("servers", busy.name)
@@ -137,7 +139,8 @@
 
 
 class TestForgotten(CrashingCase):
-    """What a node missed that was cut off for long reaches it, and does not come back from it."""
+    """A node that was disconnected for long receives what it missed, and does not bring back what
+    the others cleared."""
 
     async def test_a_lift_reaches_a_node_that_was_cut_off_for_long(self) -> None:
         await self.targets("plain", 1)
@@ -147,7 +150,7 @@
             for number in range(3):
                 crash = Crash("f" * 16, f"t{number}", now - 100.0, 0.1)
                 node.node.views.crashes.record_crash(crash)
-        # The other one is not told: its datagrams were lost then.
+        # The other node does not receive this, as if the datagrams were lost at that time.
         nodes[0].node.views.crashes.clear("f" * 16, now - 60.0)
         await eventually(lambda: not nodes[1].node.views.crashes.all_held(0.0), 15.0)
         self.assertEqual(nodes[0].node.views.crashes.all_held(0.0), [])
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,20 +1,20 @@
-"""A request that ends the targets that run it is held back once it has ended three.
+"""A request that crashes the targets running it is held back after its third crash.
 
-A request of one caller, with one path and one body, came back again and again under new
-ids, at any node, and ended each engine that began to run it: nine and eleven of them in
-two spells of some fifteen seconds, each back after some seconds and ended again.  Requests that
-stood beside were cut or failed.  All that a node knew of a request ended with its answer, so
-each try was sent to a sound target like a new one.  The lines that settled it are those of
-`send failed`, of stand-ins: one `fingerprint`, another request id with each try of the caller,
-another target with each send.
+Failure: a caller sent the same request, with one path and one body, again and again under new ids
+and to any node. It crashed each engine that started to run it: nine and eleven engines in two
+periods of about 15 s, as each was back after some seconds and crashed again. Other requests on
+these engines were cut or failed. A node discarded what it knew of a request together with the
+response, so it sent each attempt to a healthy target like a new request. The log lines `send
+failed`, here of stand-ins, show one `fingerprint`, a new request id for each attempt of the
+caller and another target for each send:
 
     send failed fingerprint=0bcec8a28cda7e1d request=f1 target=plain-5 reason=reset after_ms=31
     send failed fingerprint=0bcec8a28cda7e1d request=f1 target=plain-1 reason=reset after_ms=27
     send failed fingerprint=0bcec8a28cda7e1d request=f2 target=plain-3 reason=reset after_ms=30
     send failed fingerprint=0bcec8a28cda7e1d request=f2 target=plain-4 reason=reset after_ms=34
 
-Six targets, three nodes, asked ten times a second for six seconds: 10 to 12 runs later than
-one second after the third crash, where three may be.
+With six targets, three nodes and ten requests per second for 6 s, 10 to 12 runs started later
+than 1 s after the third crash; three are allowed.
 """
 
 from __future__ import annotations
@@ -22,40 +22,40 @@
 from .crashing_fleet import ALLOWED, FATAL, CrashingCase, chat
 from .platform_fleet import ask
 
-_SECONDS = 6.0
+_REPEAT_SECONDS = 6.0
 
 
 class TestHeldBack(CrashingCase):
-    """Whatever its kind, and wherever it comes in."""
+    """The request is held back whatever its kind, and at every node."""
 
-    async def _hold(self, service: str, path: str, **headers: str) -> None:
+    async def _check_held_back(self, service: str, path: str, **headers: str) -> None:
         await self.targets(service, 6)
         nodes = await self.nodes(3)
-        answers = await self.insist(nodes, path, seconds=_SECONDS, **headers)
+        answers = await self.insist(nodes, path, seconds=_REPEAT_SECONDS, **headers)
         self.assertLessEqual(len(self.late_runs()), ALLOWED)
         last = answers[-1]
         self.assertEqual(last.status, 503)
         self.assertGreater(float(last.headers["retry-after"]), 1.0)
 
     async def test_a_request_that_may_be_repeated(self) -> None:
-        await self._hold("plain", "/safe/x")
+        await self._check_held_back("plain", "/safe/x")
 
     async def test_a_request_that_may_run_once(self) -> None:
-        await self._hold("plain", "/unsafe/x")
+        await self._check_held_back("plain", "/unsafe/x")
 
     async def test_a_prompt(self) -> None:
-        await self._hold("engines", "/chat/x", **chat())
+        await self._check_held_back("engines", "/chat/x", **chat())
 
     async def test_a_prompt_that_may_run_once(self) -> None:
-        await self._hold("engines", "/verdict/x", **chat())
+        await self._check_held_back("engines", "/verdict/x", **chat())
 
     async def test_a_prompt_that_its_caller_takes_up_again(self) -> None:
-        await self._hold("engines", "/chat/x", **chat(), Last_Event_Id="1")
+        await self._check_held_back("engines", "/chat/x", **chat(), Last_Event_Id="1")
 
     async def test_at_one_node_alone(self) -> None:
         await self.targets("plain", 6)
         nodes = await self.nodes(1)
-        await self.insist(nodes, "/safe/x", seconds=_SECONDS)
+        await self.insist(nodes, "/safe/x", seconds=_REPEAT_SECONDS)
         self.assertLessEqual(len(self.late_runs()), ALLOWED)
 
     async def test_a_node_begun_anew_learns_it(self) -> None:
--- a/tests/test_weights_naming.py
+++ b/tests/test_weights_naming.py
@@ -1,16 +1,14 @@
-"""No prompt begins on weights that were outdated for longer than may be.
-
-What happened: prompts began on weights that were outdated for longer than may
-be.  A node counted from when it or a living neighbour had heard of the newer
-version.  Where all nodes began anew in the middle of a rollout (a loss of
-power) nobody remembered, and each sent to older weights for its whole time
-again.  It shows in `weights named`: `known_seconds` near 0 on every node, for a
-version that was named before they began.
-
-A prompt that was sent in time waited at its engine: one for 2.4 s, which the
-margin of 3 s covered.  Nothing bounded the wait but the route's patience, and for
-work that may run only once nothing but the deadline: `outdated_ms` and `first_ms`
-of `request answered` then add up to more than the time for older weights.
+"""No prompt starts on weights that have been outdated for longer than allowed.
+
+Failure: each node counted from when it, or a node alive at that time, received the newer version.
+After all nodes restarted during a rollout (a power loss) no node had that time, and each used older
+weights for the whole allowed time again. The log showed it in `weights named`: `known_seconds` near
+0 on every node, for a version that was named before the nodes started.
+
+Second failure: a prompt that was sent in time waited at its engine, one for 2.4 s, which the margin
+of 3 s covered. Only the route's patience limited this wait, and only the deadline for work that may
+run once. `outdated_ms` and `first_ms` of `request answered` then add up to more than the allowed
+time.
 """
 
 from __future__ import annotations
@@ -23,13 +21,13 @@
 
 from .platform_fleet import BOUNDS, FleetCase, RunningNode, ask, eventually, prompt
 
-_NEVER_DONE = 1000
-_SHORT = BOUNDS._replace(weights=2.0)
-_HEARD_BEFORE_SECONDS = 0.4
-"""How much earlier another node heard of a version than the one that saves it: less than
-`SAVED_ERROR_SECONDS`, for which the row is not written anew."""
+_UNANSWERED_ORDER_COUNT = 1000
+_SHORT_BOUNDS = BOUNDS._replace(weights=2.0)
+_RECEIVED_BEFORE_SECONDS = 0.4
+"""How much earlier another node received a version than the node that saves it. It is less than
+`SAVED_ERROR_SECONDS`, so the row is not written again."""
 _DEADLINE_MS = 6000
-"""Longer than any request may wait to begin on older weights."""
+"""Longer than any request may wait to start on older weights."""
 
 
 class TestAllNodesAnew(FleetCase):
@@ -37,10 +35,10 @@
         await super().asyncSetUp()
         for name in ("e1", "e2"):
             worker = await self.fleet.worker(Worker(name=name, events=3), "engines")
-            # Loads are ordered and never come about: the rollout stays in its middle.
-            worker.unanswered_orders = _NEVER_DONE
+            # Loads are ordered but never happen, so the rollout remains incomplete.
+            worker.unanswered_orders = _UNANSWERED_ORDER_COUNT
         self.clocks: list[StoreClock] = []
-        """All readings of the platform's clock by which namings were dated."""
+        """All readings of the platform's clock that were used to date namings."""
 
         def read(clock: float, sent: float, heard: float) -> StoreClock:
             self.clocks.append(StoreClock(clock, sent, heard))
@@ -50,71 +48,73 @@
         readings.start()
         self.addCleanup(readings.stop)
 
-    async def _nodes(self) -> list[RunningNode]:
+    async def _start_nodes(self) -> list[RunningNode]:
         return [await self.fleet.node(f"node-{n}") for n in (1, 2)]
 
-    async def _named(self, nodes: list[RunningNode]) -> None:
-        """Name version 2; return when all nodes know it and a row of the platform says when."""
+    async def _name_version(self, nodes: list[RunningNode]) -> None:
+        """Name version 2; wait until all nodes know it and a row of the platform has its time."""
         self.fleet.store.put("op", "version/m", {"model": "m", "version": 2})
         await eventually(lambda: all(n.node.views.first_superseding("m", 1) for n in nodes))
         await eventually(lambda: bool(self.fleet.workers["e1"].orders))
         await eventually(lambda: self.fleet.store.get("namings", "m") is not None)
 
-    async def _count_from(self, heard_at: float, named_at: float) -> None:
-        """Start nodes anew, and see that each counts from `heard_at` at the latest."""
-        for node in await self._nodes():
+    async def _check_counted_from(self, heard_at: float, named_at: float) -> None:
+        """Restart the nodes, and check that each counts from `heard_at` at the latest."""
+        for node in await self._start_nodes():
             views = node.node.views
             await eventually(lambda views=views: views.named == {"m": 2})
             await eventually(lambda views=views: views.first_superseding("m", 1).at <= heard_at)
-            # Nor does it count from much before the naming: calls to the store are all the error.
+            # They must not count from much before the naming either: the only error is the time of
+            # store calls.
             calls = sum(clock.heard - clock.sent for clock in self.clocks)
             self.assertGreater(views.first_superseding("m", 1).at, named_at - calls)
 
     async def test_they_count_from_the_naming_not_from_their_start(self) -> None:
-        # Only one node has heard of it: what it knows is exactly what was saved.
+        # Only one node has received it, so what it knows is exactly what was saved.
         before = await self.fleet.node("node-1")
         named_at = asyncio.get_running_loop().time()
-        await self._named([before])
+        await self._name_version([before])
         heard_at = before.node.views.first_superseding("m", 1).at
         await before.stop()
-        await self._count_from(heard_at, named_at)
+        await self._check_counted_from(heard_at, named_at)
 
     async def test_they_count_from_whoever_heard_of_it_first(self) -> None:
-        # The node that saved it may have heard of it later, by `SAVED_ERROR_SECONDS` at most.
-        before = await self._nodes()
+        # The node that saved it may have received it later, by at most `SAVED_ERROR_SECONDS`.
+        before = await self._start_nodes()
         named_at = asyncio.get_running_loop().time()
-        await self._named(before)
+        await self._name_version(before)
         now = asyncio.get_running_loop().time()
         heard_at = (
-            min(n.node.views.first_superseding("m", 1).at for n in before) - _HEARD_BEFORE_SECONDS
+            min(n.node.views.first_superseding("m", 1).at for n in before)
+            - _RECEIVED_BEFORE_SECONDS
         )
         before[1].node.views.record_version_ages((VersionAge("m", 2, now - heard_at),), now)
         for node in before:
             await node.stop()
         calls = sum(clock.heard - clock.sent for clock in self.clocks)
-        await self._count_from(heard_at + SAVED_ERROR_SECONDS + calls, named_at)
+        await self._check_counted_from(heard_at + SAVED_ERROR_SECONDS + calls, named_at)
 
 
 class TestWaiting(FleetCase):
-    """Engine e1 has older weights, never loads, and lets what comes wait."""
+    """Engine e1 has older weights, never loads new ones, and keeps requests waiting."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         for route in self.fleet.routes:
-            # In time for long, so that silence alone does not move a run.
+            # The latency goal is long, so that a lack of events alone does not move a run.
             route["target-latency-ms"] = _DEADLINE_MS
             route["timeout-ms"] = _DEADLINE_MS
         self.fleet.configure()
         self.old = await self.fleet.worker(Worker(name="e1", events=3), "engines")
-        self.old.unanswered_orders = _NEVER_DONE
-        self.node = await self.fleet.node(bounds=_SHORT)
+        self.old.unanswered_orders = _UNANSWERED_ORDER_COUNT
+        self.node = await self.fleet.node(bounds=_SHORT_BOUNDS)
 
     async def _name(self) -> None:
         self.fleet.store.put("op", "version/m", {"model": "m", "version": 2})
         await eventually(lambda: self.node.node.views.named == {"m": 2})
 
-    async def _left(self) -> float:
-        """Return for how long the weights were outdated when e1 was left."""
+    async def _outdated_seconds_at_move(self) -> float:
+        """Return for how long the weights had been outdated when the request left e1."""
         await eventually(lambda: bool(self.old.left))
         now = asyncio.get_running_loop().time()
         return self.node.node.views.outdated_seconds("m", 1, now)
@@ -127,7 +127,7 @@
         )
         await eventually(lambda: not self.old.faults)
         new = await self.fleet.worker(Worker(name="e2", events=3, version=2), "engines")
-        self.assertLess(await self._left(), _SHORT.weights)
+        self.assertLess(await self._outdated_seconds_at_move(), _SHORT_BOUNDS.weights)
         answer = await asked
         self.assertEqual((answer.status, answer.headers.get("whole")), (200, "yes"))
         self.assertEqual([ran.request_id for ran in new.ran], ["r1"])
@@ -141,7 +141,7 @@
         )
         await eventually(lambda: not self.old.faults)
         await self.fleet.worker(Worker(name="e2", events=3, version=2), "engines")
-        self.assertLess(await self._left(), _SHORT.weights)
+        self.assertLess(await self._outdated_seconds_at_move(), _SHORT_BOUNDS.weights)
         self.assertEqual((await asked).status, 502)
         self.assertEqual(self.fleet.workers["e2"].ran, [])
 
@@ -152,5 +152,5 @@
         )
         await eventually(lambda: not self.old.faults)
         await self._name()
-        self.assertLess(await self._left(), _SHORT.weights)
+        self.assertLess(await self._outdated_seconds_at_move(), _SHORT_BOUNDS.weights)
         self.assertEqual((await asked).status, 502)
