--- a/tests/test_left_from_a_try.py
+++ b/tests/test_left_from_a_try.py
@@ -1,8 +1,9 @@
-"""State of one try, connection or request on the platform does not decide over the next one.
+"""State of one attempt, connection or request on the platform does not affect the next one.
 
-It was kept in an object that outlives it: a cutter of events, a kept connection, a
-caller's connection, a feed, a line, a count.  Each test tells what a caller or an
-operator saw.  `test_left_behind.py` has such places of the node's own interface.
+Failure: the state was held in an object that outlives the attempt, such as an event framer, a
+pooled connection, a caller's connection, a feed, a queue or a counter.  Each test checks what
+a caller or an operator sees.  `test_left_behind.py` covers such state of the node's own
+interface.
 """
 
 from __future__ import annotations
@@ -31,10 +32,10 @@
 
 _REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 _BODY = b"the whole answer"
-_GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(_BODY) + _BODY
+_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(_BODY) + _BODY
 _EVENTS = 5
-_BUFFER = 256 * 1024
-"""Bytes of an answer that wait for a slow reader, as the client has it."""
+_BUFFER_BYTES = 256 * 1024
+"""The number of bytes of a response that the client buffers for a slow reader."""
 
 
 def _event(number: int) -> bytes:
@@ -45,11 +46,11 @@
     return b'event: end\nid: %d\ndata: {"count": %d}\n\n' % (count + 1, count)
 
 
-# --- faults of engines that only these tests need ------------------------------
+# --- faults of engines that only these tests use -------------------------------
 
 
 async def _repeat_named(exchange: Any) -> None:
-    """Send the event that the request names once more, then go on behind it."""
+    """Repeat the event that the request names as its last, then send those after it."""
     worker = exchange.worker
     worker.begin(exchange.request)
     after = int(exchange.request.head.headers.text(b"last-event-id") or 0)
@@ -61,7 +62,7 @@
 
 
 async def _cut_plain(exchange: Any) -> None:
-    """Break off an answer that is no stream, and has a length."""
+    """Cut a response that has a length and is not a stream."""
     worker = exchange.worker
     worker.begin(exchange.request)
     exchange.responder.start(200, worker.head(exchange.request_id), 100)
@@ -71,7 +72,7 @@
 
 
 async def _late_without_id(exchange: Any) -> None:
-    """Send an event with an id and one without, and break off."""
+    """Send an event with an id and one without, then cut the response."""
     worker = exchange.worker
     worker.begin(exchange.request)
     fields = Headers([*worker.head(exchange.request_id), (b"Content-Type", b"text/event-stream")])
@@ -91,15 +92,15 @@
 
 
 class EnginesCase(FleetCase):
-    """Two engines that fail by one list, whichever of them a request reaches."""
+    """Two engines that share a list of faults, so that either fails the next request."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         faults = mock.patch.dict(standin.FAULTS, _FAULTS)
         faults.start()
         self.addCleanup(faults.stop)
-        more = {"allow-resume": True, "max-attempts": 3}
-        self.fleet.routes.append(route("long", "engines", "streaming", **more))
+        options = {"allow-resume": True, "max-attempts": 3}
+        self.fleet.routes.append(route("long", "engines", "streaming", **options))
         self.tolerate_pauses(2.0)
         self.faults: list[str] = []
         self.workers = [Worker(name=f"e{n}", events=_EVENTS) for n in range(1, 3)]
@@ -113,38 +114,38 @@
         return [ran for worker in self.workers for ran in worker.ran]
 
 
-# --- the platform's path -------------------------------------------------------
+# --- requests on the platform --------------------------------------------------
 
 
-class CallersOwnResumeTest(EnginesCase):
-    """A caller takes an answer up again, after its own connection broke."""
+class CallerResumeTest(EnginesCase):
+    """A caller resumes a response after its own connection was lost."""
 
     async def test_a_caller_that_has_every_event_gets_the_end(self) -> None:
-        """Only the end was lost: the engine has nothing more to send, and is right."""
+        """Only the end was lost, so the engine correctly sends no more events."""
         answer = await ask(self.node, "/long/x", Last_Event_Id=f"{_EVENTS}", **prompt())
         self.assertEqual((answer.status, answer.body), (200, b""))
         self.assertEqual(len(self._runs()), 1)
 
-    async def test_an_engine_that_did_right_is_not_taken_for_failing(self) -> None:
+    async def test_an_engine_that_responds_correctly_is_not_counted_as_failing(self) -> None:
         await ask(self.node, "/long/x", Last_Event_Id=f"{_EVENTS}", **prompt())
         views = self.node.node.views
         now = asyncio.get_running_loop().time()
         self.assertEqual([views.health.share(w.name, now) for w in self.workers], [0.0, 0.0])
 
-    async def test_an_event_that_the_caller_named_does_not_come_again(self) -> None:
+    async def test_an_event_that_the_caller_named_is_not_sent_again(self) -> None:
         self.faults[:] = ["repeat-named"]
         answer = await ask(self.node, "/long/x", Last_Event_Id="2", **prompt())
         self.assertEqual(answer.body, b"".join(_event(n) for n in range(3, _EVENTS + 1)))
 
 
-class BrokenAnswersTest(EnginesCase):
-    async def test_an_event_without_an_id_behind_others_does_not_come_again(self) -> None:
-        """The next run begins behind the last id, and gives what followed it once more."""
+class CutResponsesTest(EnginesCase):
+    async def test_an_event_without_an_id_after_others_is_not_sent_again(self) -> None:
+        """The next run begins after the last id, and repeats the event that followed it."""
         self.faults[:] = ["late-without-id"]
         answer = await ask(self.node, "/long/x", **prompt())
         self.assertEqual(answer.body.count(b"data: token 2\n"), 1, answer.body)
 
-    async def test_an_answer_with_a_length_that_breaks_off_is_the_engines_failure(self) -> None:
+    async def test_a_cut_response_with_a_length_is_a_failure_of_the_engine(self) -> None:
         self.faults[:] = ["cut-plain"]
         with capture_logs() as lines:
             await ask(self.node, "/verdict/x", **prompt())
@@ -154,44 +155,44 @@
         share = self.node.node.views.health.share(name, asyncio.get_running_loop().time())
         self.assertGreater(share, 0.0)
 
-    async def test_a_save_that_a_refused_send_was_to_make_goes_to_the_next(self) -> None:
-        """An engine that turned the prompt away saves nothing of it, and holds nothing."""
+    async def test_the_save_of_a_refused_send_is_assigned_to_the_next_send(self) -> None:
+        """An engine that refused the prompt neither saves nor holds it."""
         await eventually(lambda: all(v.is_known for v in self.node.node.views.store_index.views))
         self.faults[:] = ["shed"]
         await ask(self.node, "/long/x", **prompt())
         (ran,) = self._runs()
         self.assertIn(self.fleet.kv_address, ran.headers.get("x-kv-save", ""))
 
-    async def test_an_engine_that_turned_a_prompt_away_is_not_taken_to_hold_it(self) -> None:
+    async def test_an_engine_that_refused_a_prompt_is_not_assumed_to_hold_it(self) -> None:
         self.faults[:] = ["shed"]
         await ask(self.node, "/long/x", **prompt())
         (ran,) = [worker.name for worker in self.workers if worker.ran]
-        (shed,) = [worker.name for worker in self.workers if worker.name != ran]
-        self.assertEqual(self.node.node.views.memory.parts(shed, "m.1."), frozenset())
+        (refusing,) = [worker.name for worker in self.workers if worker.name != ran]
+        self.assertEqual(self.node.node.views.memory.parts(refusing, "m.1."), frozenset())
 
 
 class SameIdTest(EnginesCase):
-    async def test_two_requests_of_one_id_are_counted_apart(self) -> None:
-        """Callers choose ids: the end of one took the other's load away."""
+    async def test_two_requests_with_the_same_id_are_counted_separately(self) -> None:
+        """Callers choose ids.  The end of one request also removed the other's load."""
         self.fleet.enter("e2", "engines", state="draining")
         views = self.node.node.views
         await eventually(lambda: [i.name for i in views.registry.serving("engines")] == ["e1"])
         self.workers[0].pause_seconds = 0.1
-        asked = []
+        requests = []
         for number in (1, 2):
-            asked.append(asyncio.ensure_future(ask(self.node, "/long/x", **prompt())))
+            requests.append(asyncio.ensure_future(ask(self.node, "/long/x", **prompt())))
             await eventually(lambda number=number: len(self._runs()) == number)
             await asyncio.sleep(0.2)
-        await asked[0]
-        self.assertFalse(asked[1].done())
+        await requests[0]
+        self.assertFalse(requests[1].done())
         (burden,) = views.workload.own().values()
         self.assertEqual(burden.running, 1)
-        await asked[1]
+        await requests[1]
 
 
 class RefusedSendTest(unittest.TestCase):
-    def test_what_another_prompt_brought_is_not_taken_back(self) -> None:
-        """One prompt was turned away; the other, sent meanwhile, runs and holds the part."""
+    def test_a_part_that_another_prompt_sent_is_not_removed(self) -> None:
+        """One prompt is refused; the other, sent meanwhile, runs, and its engine holds the part."""
         memory, part = EngineMemory(), Part("aa", 100)
         first, _ = (memory.sent("e1", "m.1.", [part], 40_000) for _ in range(2))
         memory.undo_send("e1", "m.1.", ["aa"], send=first)
@@ -199,43 +200,43 @@
 
 
 class JoinedEventsTest(unittest.TestCase):
-    """Events joined of the bytes of two are counted: docs/METRICS.md says to alert on it."""
+    """Events joined from the bytes of two are counted; docs/METRICS.md says to alert on them."""
 
     def test_an_event_joined_inside_its_id_is_counted(self) -> None:
-        """A run broke off behind 6 bytes of its event; the next run's event came behind them."""
-        cutter = EventFramer()
-        cutter.feed(b"id: 39" + b"id: 39\ndata: token 39\n\n")
-        self.assertEqual(cutter.odd, 1)
+        """A run is cut after 6 bytes of an event, and the next run's event follows them."""
+        framer = EventFramer()
+        framer.feed(b"id: 39" + b"id: 39\ndata: token 39\n\n")
+        self.assertEqual(framer.odd, 1)
 
     def test_an_event_joined_inside_its_data_is_counted(self) -> None:
-        cutter = EventFramer()
-        cutter.feed(b"id: 1\ndata: tok" + _event(1))
-        self.assertEqual(cutter.odd, 1)
+        framer = EventFramer()
+        framer.feed(b"id: 1\ndata: tok" + _event(1))
+        self.assertEqual(framer.odd, 1)
 
     def test_an_event_without_an_id_does_not_hide_a_joined_one(self) -> None:
-        cutter = EventFramer()
-        cutter.feed(b"data: x\n\n" + _event(1)[:-1] + _event(2))
-        self.assertEqual(cutter.odd, 1)
+        framer = EventFramer()
+        framer.feed(b"data: x\n\n" + _event(1)[:-1] + _event(2))
+        self.assertEqual(framer.odd, 1)
 
 
-class LineTest(unittest.TestCase):
-    def test_a_prompt_that_leaves_takes_no_other_one_along(self) -> None:
-        """Two callers chose one id, or one sent again while its first connection hung."""
-        line = PromptQueue()
+class PromptQueueTest(unittest.TestCase):
+    def test_removing_a_prompt_keeps_another_with_the_same_id(self) -> None:
+        """Two callers may choose the same id, or one may retry while its first connection hangs."""
+        queue = PromptQueue()
         first, second = WaitingPrompt("r1", 1, 5.0, 100), WaitingPrompt("r1", 1, 6.0, 100)
-        line.add(first)
-        line.add(second)
-        self.assertIs(line.head(), first)
-        line.remove(first)
-        self.assertIs(line.head(), second)
+        queue.add(first)
+        queue.add(second)
+        self.assertIs(queue.head(), first)
+        queue.remove(first)
+        self.assertIs(queue.head(), second)
 
 
 # --- connections ----------------------------------------------------------------
 
 
-class KeptConnectionTest(unittest.IsolatedAsyncioTestCase):
+class PooledConnectionTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.asked = 0
+        self.request_count = 0
         port = free_port()
         self.address = f"{HOST}:{port}"
         self.server = await asyncio.start_server(self._serve, HOST, port)
@@ -246,16 +247,16 @@
         self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the first request with a little more than is buffered, others shortly."""
+        """Respond to the first request with slightly more than is buffered, to others briefly."""
         try:
             while await reader.readuntil(b"\r\n\r\n"):
-                self.asked += 1
-                if self.asked > 1:
-                    writer.write(_GOOD)
+                self.request_count += 1
+                if self.request_count > 1:
+                    writer.write(_RESPONSE)
                     continue
-                size = _BUFFER + 1000
+                size = _BUFFER_BYTES + 1000
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-                writer.write(b"x" * _BUFFER)
+                writer.write(b"x" * _BUFFER_BYTES)
                 await writer.drain()
                 await asyncio.sleep(0.1)
                 writer.write(b"x" * 1000)
@@ -264,65 +265,65 @@
         finally:
             writer.close()
 
-    async def test_a_slow_reader_of_one_answer_does_not_hold_up_the_next(self) -> None:
-        """The connection is at rest when the answer is whole, but is read no further."""
+    async def test_a_slow_reader_of_one_response_does_not_delay_the_next(self) -> None:
+        """The connection is idle once the response is complete, but reading from it is paused."""
         slow = await self.client.begin(self.address, _REQUEST, connect_seconds=2.0)
         await eventually(lambda: slow.complete)
         reply = await self.client.call(self.address, _REQUEST, timeouts=Timeouts(2.0, 1.0))
         self.assertEqual(reply.body, _BODY)
 
-    async def test_a_connect_that_is_given_up_is_counted_once(self) -> None:
-        """A count that is too low lets a target get more connections than it takes."""
+    async def test_a_cancelled_connect_is_counted_once(self) -> None:
+        """A count that is too low gives a target more connections than it accepts."""
         held = await self.client.begin(self.address, _REQUEST, connect_seconds=2.0)
-        begun: asyncio.Task[Any] | None = None
-        made = _Connection.connection_made
+        connecting: asyncio.Task[Any] | None = None
+        connection_made = _Connection.connection_made
 
-        def given_up(connection: _Connection, transport: asyncio.BaseTransport) -> None:
-            """Leave in the moment in which the connection comes up."""
-            made(connection, transport)
-            assert begun is not None
-            begun.cancel()
+        def cancel_on_connect(connection: _Connection, transport: asyncio.BaseTransport) -> None:
+            """Cancel the request at the moment in which its connection is established."""
+            connection_made(connection, transport)
+            assert connecting is not None
+            connecting.cancel()
 
-        with mock.patch.object(_Connection, "connection_made", given_up):
-            begun = asyncio.ensure_future(
+        with mock.patch.object(_Connection, "connection_made", cancel_on_connect):
+            connecting = asyncio.ensure_future(
                 self.client.begin(self.address, _REQUEST, connect_seconds=2.0)
             )
-            await asyncio.gather(begun, return_exceptions=True)
+            await asyncio.gather(connecting, return_exceptions=True)
             await asyncio.sleep(0.05)
-        self.assertTrue(begun.cancelled())
+        self.assertTrue(connecting.cancelled())
         self.assertEqual(self.client._open_counts, {self.address: 1})
         held.cancel()
 
 
-class CallersConnectionTest(EnginesCase):
-    async def test_a_request_behind_does_not_write_into_the_answer_before_it(self) -> None:
-        """ "100 Continue" for the second request went out between the first one's chunks."""
+class CallerConnectionTest(EnginesCase):
+    async def test_a_pipelined_request_does_not_write_into_the_response_before_it(self) -> None:
+        """ "100 Continue" for the second request was sent between chunks of the first response."""
         for worker in self.workers:
             worker.pause_seconds = 0.1
         host, _, port = self.node.settings.entry.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(request("/long/x", Connection="", **prompt()))
-        got = await reader.readuntil(_event(2))
+        received = await reader.readuntil(_event(2))
         writer.write(request("/long/x", request_id="r2", Expect="100-continue", **prompt()))
-        got += await reader.readuntil(b"0\r\n\r\n")
+        received += await reader.readuntil(b"0\r\n\r\n")
         writer.close()
-        self.assertNotIn(b"100 Continue", got)
+        self.assertNotIn(b"100 Continue", received)
 
 
 # --- feeds and rows ----------------------------------------------------------------
 
 
-class ReadingBeforeAPauseTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_reading_from_before_a_pause_is_not_the_one_after_it(self) -> None:
-        """`read_now` asks for a reading at once; the end of the one under way cleared that."""
+class ReadBeforePauseTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_read_from_before_a_pause_does_not_replace_the_one_after_it(self) -> None:
+        """`read_now` requests an immediate read; the end of the read in flight cleared that."""
         node = ViewNode(name="node-1", boot=1, fleet=mock.Mock(spec=TargetFleet))
         calls: list[asyncio.Future[TargetChanges]] = []
 
-        async def news(after: int | None) -> TargetChanges:
+        async def target_changes(after: int | None) -> TargetChanges:
             calls.append(asyncio.get_running_loop().create_future())
             return await calls[-1]
 
-        node.feed._platform = SimpleNamespace(target_changes=news)  # type: ignore[assignment]
+        node.feed._platform = SimpleNamespace(target_changes=target_changes)  # type: ignore[assignment]
         running = asyncio.ensure_future(node.feed.run())
         self.addCleanup(running.cancel)
         await eventually(lambda: len(calls) == 1)
