--- a/tests/test_suspended_host.py
+++ b/tests/test_suspended_host.py
@@ -1,7 +1,8 @@
-"""A host that was suspended for seconds does not take what it had for fresh.
+"""A host that was suspended for seconds does not treat its former state as current.
 
-The steady clock of the language does not count that time.  A node that woke believed its
-lease to be held, entries to be fresh and a request's time to be left, and noticed nothing.
+Python's monotonic clock does not count the time of a suspension. A node that resumed assumed that
+its lease was held, that entries were current and that a request's time was left, and detected
+nothing.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
 
 
 class Suspension:
-    """The host's clock, which runs on by itself and jumps when the host was suspended."""
+    """The host's clock, which runs on and jumps when the host was suspended."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
 
     def now(self) -> float:
-        """Return the time with all that was slept through."""
+        """Return the time including all suspensions."""
         return time.monotonic() + self.seconds
 
 
@@ -68,13 +69,13 @@
 
 
 class PausedFleetCase(FleetCase):
-    """A fleet in a loop that goes by a host's clock."""
+    """A fleet in an event loop that uses a host's clock."""
 
     def setUp(self) -> None:
         self.host = Suspension()
         self.enterContext(mock.patch.object(clock, "now", self.host.now))
         runner = asyncio.Runner(loop_factory=SuspendAwareLoop, debug=True)
-        # The test case runs all of a test in its runner.
+        # The test case runs each whole test in its runner.
         self.enterContext(mock.patch.object(self, "_setupAsyncioRunner", lambda: None))
         self._asyncioRunner = runner
 
@@ -87,7 +88,7 @@
             self.fleet.routes.append(route("new", "plain", "safe"))
             self.fleet.configure()
             self.host.seconds += _SUSPENDED_SECONDS
-            # Before any tick: the request is the first thing that happens.
+            # Before any tick, as the request is the first event after the suspension.
             answer = await ask(node, "/new/x", deadline_ms=60000)
             await eventually(lambda: not node.node.views.stale.is_set())
         self.assertEqual(answer.status, 200, answer.body)
--- a/tests/test_target_leaving.py
+++ b/tests/test_target_leaving.py
@@ -1,4 +1,4 @@
-"""A target that says that it leaves gets nothing more, whichever of its answers says so."""
+"""A target that reports in any of its answers that it is leaving receives no more requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .platform_fleet import TwoTargets, eventually
 
 _ON_ITS_WAY_SECONDS = 0.3
-"""Time after a node has heard that a target leaves in which what it sent before may come."""
+"""Time after a node has received the report during which requests sent before may still arrive."""
 
 
 class TestRegistry(unittest.TestCase):
@@ -54,7 +54,7 @@
 
 class TestHeartbeats(unittest.IsolatedAsyncioTestCase):
     async def test_any_number_of_leaving_targets_is_sent(self) -> None:
-        """A whole data centre's targets may leave at once."""
+        """All targets of a data centre may leave at once."""
         sender, receiver = Views(), Views()
         names = {f"t{number}" for number in range(100)}
         for views in (sender, receiver):
@@ -77,10 +77,10 @@
 
 
 class TestLeaving(TwoTargets):
-    """Two nodes, in turn."""
+    """The targets receive requests from two nodes in turn."""
 
     async def left(self, service: str) -> None:
-        """Let the speaker say that it leaves, to one node."""
+        """Let the target report to one node that it is leaving."""
         if not hasattr(self, "speaker"):
             await self.start(service, nodes=2)
         self.speaker.leaving = True
@@ -135,7 +135,7 @@
         await self.check_left()
 
     async def test_a_report_tells_it_too(self) -> None:
-        """The state that a report names may change before the target's entry does."""
+        """The state in a report may change before the target's entry does."""
         await self.start("engines", nodes=2)
         self.speaker.state = "draining"
         self.fleet.store.put("op", "version/m", {"model": "m", "version": 2})
