--- a/tests/test_engine_slowdown.py
+++ b/tests/test_engine_slowdown.py
@@ -38,18 +38,18 @@
 """Engines at half the speed that the estimates assume, from the first second on."""
 
 
-class TestPace(unittest.TestCase):
-    def test_nothing_seen_is_the_usual_pace(self) -> None:
+class TestEngineSlowdowns(unittest.TestCase):
+    def test_the_factor_without_observations_is_one(self) -> None:
         self.assertEqual(EngineSlowdowns().factor("s", "e"), 1.0)
 
-    def test_a_service_that_is_slow_as_a_whole_is_known_for_engines_never_seen(self) -> None:
+    def test_the_slowdown_of_a_service_applies_to_unobserved_engines(self) -> None:
         slowdowns = EngineSlowdowns()
         for number in range(150):
             slowdowns.observe("s", f"e{number % 10}", estimate=0.1, seconds=0.2)
         self.assertAlmostEqual(slowdowns.factor("s", "new"), 2.0, delta=0.4)
         self.assertEqual(slowdowns.factor("other", "e"), 1.0)
 
-    def test_one_slow_engine_among_usual_ones_is_told_apart(self) -> None:
+    def test_one_slow_engine_among_others_is_distinguished(self) -> None:
         slowdowns, rng = EngineSlowdowns(), random.Random(1)
         for _ in range(1500):
             number = rng.randrange(10)
@@ -60,12 +60,12 @@
         self.assertGreater(slowdowns.factor("s", "e0"), 1.9 * slowdowns.factor("s", "e1"))
         self.assertAlmostEqual(slowdowns.factor("s", "e1"), 1.0, delta=0.4)
 
-    def test_one_that_hung_counts_little(self) -> None:
+    def test_one_hung_response_counts_little(self) -> None:
         slowdowns = EngineSlowdowns()
         slowdowns.observe("s", "e", estimate=0.05, seconds=30.0)
         self.assertLess(slowdowns.factor("s", "e"), 1.3)
 
-    def test_an_engine_at_half_speed_is_estimated_and_avoided_so(self) -> None:
+    def test_an_engine_at_half_speed_is_estimated_as_slow_and_avoided(self) -> None:
         prompt = Prompt("m", (Part("a", 9000), Part("own", 1000)), 10_000, 20)
         engines = [
             EngineState(
@@ -99,7 +99,7 @@
     engines held twice the prompts that they could prefill in time.
     """
 
-    def test_more_is_in_time_than_with_the_speeds_taken_for_granted(self) -> None:
+    def test_learned_slowdowns_bring_more_in_time_than_fixed_speeds(self) -> None:
         learned = mean("during", "steady", sizes=_SLOW, seeds=3)
         fixed = mean("during", "steady", "pace", sizes=_SLOW, seeds=3)
         self.assertGreater(learned, fixed + 0.1)
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -36,10 +36,10 @@
                     await asyncio.sleep(60.0)
         return weights_timeout.expired
 
-    def test_the_weights_time_ends_it_before_patience(self) -> None:
+    def test_the_weights_timeout_cancels_a_send_before_its_own_timeout(self) -> None:
         self.assertTrue(self._expired(bound=0.6))
 
-    def test_patience_ends_it_where_both_end_in_one_moment(self) -> None:
+    def test_the_own_timeout_prevails_if_both_expire_together(self) -> None:
         # A check in the loop iteration in which the timeout expires rescheduled an expiring
         # timeout: the loop logged `Cannot change state of expiring Timeout`, and the failure was
         # not attributed to the engine.
