--- a/packages/node/src/fielddrift_node/callers.py
+++ b/packages/node/src/fielddrift_node/callers.py
@@ -129,7 +129,7 @@
             return _json({"id": key, "state": "ran", "answer": answer})
         if row.state is ClaimState.NOT_RUN:
             return _json({"id": key, "state": "not-run"})
-        word = self._runtime.claims.word_of(row)
+        word = self._runtime.claims.state_of(row)
         return _json({"id": key, "state": word})
 
     # --- requests ----------------------------------------------------------
--- a/packages/node/src/fielddrift_node/claims.py
+++ b/packages/node/src/fielddrift_node/claims.py
@@ -1,8 +1,8 @@
-"""Claim requests that may not be repeated, in the platform's table.
+"""Idempotency claims for requests that must not run twice, stored in the platform's table.
 
-Claims that come within a few milliseconds of each other share a transaction,
-so the table's writes do not grow with the requests.  A claim whose insert
-stays unanswered is abandoned for good before its caller is refused.
+Claims that arrive within a few milliseconds of each other share a transaction,
+so the number of table writes does not grow with the number of requests.  A claim
+whose insert is not confirmed is permanently abandoned before its caller is refused.
 """
 
 from __future__ import annotations
@@ -42,18 +42,18 @@
 from .log import get
 from .metrics import Metrics
 
-__all__ = ["Claim", "ClaimDesk"]
+__all__ = ["Claim", "ClaimManager"]
 
 GROUP_SECONDS = 0.004
-_MOST_IN_GROUP = 64
-_LONGEST_BODY = 16_384
-_CLEAN_SECONDS = 1.0
-# Every claim needs the table, so it is tried again sooner than a target.
-_LONGEST_TABLE_REST = 2.0
+_MAX_GROUP_WRITES = 64
+_MAX_BODY_BYTES = 16_384
+_SETTLE_INTERVAL_SECONDS = 1.0
+# Every claim needs the table, so the breaker retries it sooner than it retries a target.
+_MAX_TABLE_OPEN_SECONDS = 2.0
 
 
 class Claim(NamedTuple):
-    """A claim that this node holds, with the version of its row."""
+    """A claim held by this node, with the version of its stored row."""
 
     row: ClaimRow
     version: int
@@ -64,16 +64,19 @@
     done: Future[Row]
 
 
-class _Unclean(NamedTuple):
+class _UnsettledClaim(NamedTuple):
     row: ClaimRow
     since: float
 
 
-class ClaimDesk:
-    """Group claims into transactions, and settle them afterwards.
+class ClaimManager:
+    """Claims requests in grouped transactions and later writes their outcomes.
 
-    `ask` asks another node for its word on one of its attempts; it returns
-    None when that node gives none.
+    `ask` queries another node for the status of one of its attempts; it returns
+    None when that node does not report one.
+
+    `timeout` and `group_seconds` are in seconds: the longest wait for a write, and
+    how long a group stays open for further writes.
     """
 
     def __init__(
@@ -94,84 +97,87 @@
         self._metrics = metrics
         self._timeout = timeout
         self._group_seconds = group_seconds
-        self._book = AttemptRegistry()
+        self._registry = AttemptRegistry()
         self._lock = threading.Lock()
-        self._breaker = CircuitBreaker(max_open_seconds=_LONGEST_TABLE_REST)
+        self._breaker = CircuitBreaker(max_open_seconds=_MAX_TABLE_OPEN_SECONDS)
         self._inbox: queue.SimpleQueue[_Pending | None] = queue.SimpleQueue()
-        self._unclean: dict[str, _Unclean] = {}
+        self._unsettled: dict[str, _UnsettledClaim] = {}
         self._stopped = threading.Event()
         self._threads = [
-            threading.Thread(target=self._group, name="claims", daemon=True),
-            threading.Thread(target=self._clean, name="claims-clean", daemon=True),
+            threading.Thread(target=self._group_writes, name="claims", daemon=True),
+            threading.Thread(target=self._settle_periodically, name="claims-clean", daemon=True),
         ]
         for thread in self._threads:
             thread.start()
 
     def close(self) -> None:
-        """Stop, after one last try to settle what is open."""
+        """Stop the threads after one last attempt to write the outstanding outcomes."""
         self._stopped.set()
         self._inbox.put(None)
-        self._clean_once(age=0.0)
+        self._settle_older_than(age=0.0)
 
     # --- for requests ------------------------------------------------------
 
     def claim(self, *, customer: str, key: str, digest: str) -> Claim | ClaimRow | Refusal:
-        """Claim a request: the claim, the kept outcome, or why it may not run.
+        """Claim a request; return the claim, the stored outcome of an earlier run, or a refusal.
 
-        A refusal that says "not run" is given only after the attempt was
+        A refusal that says "not run" is returned only after the attempt has been
         abandoned.
         """
         if not self._breaker.allows(clock.now()):
-            return table_unavailable("the table failed a moment ago")
+            return table_unavailable("the table failed recently")
         row = ClaimRow(customer, key, self._claimant, self._address, uuid.uuid4().hex, digest)
-        outcome = self._drive(claim_steps(row, self._book))
+        outcome = self._drive(claim_steps(row, self._registry))
         if outcome.refusal is not None:
             return outcome.refusal
         return outcome.kept or Claim(row, outcome.version)
 
     def begin_send(self, claim: Claim) -> bool:
-        """Allow the send, once; False when the claim was abandoned."""
+        """Return True once to permit the send; False if the claim was abandoned."""
         with self._lock:
-            return self._book.begin_send(claim.row.attempt)
+            return self._registry.begin_send(claim.row.attempt)
 
     def ran(self, claim: Claim, *, status: int, content_type: str, body: bytes) -> None:
-        """Keep the outcome of a run, in the background."""
-        kept = base64.b64encode(body).decode() if len(body) <= _LONGEST_BODY else None
+        """Store the outcome of a completed run in the background."""
+        kept = base64.b64encode(body).decode() if len(body) <= _MAX_BODY_BYTES else None
         row = claim.row._replace(
             state=ClaimState.RAN, status=status, content_type=content_type, body=kept
         )
         self._finish(claim, row)
 
     def not_run(self, claim: Claim) -> None:
-        """Free the key of a request that surely did not run."""
-        # The row follows in the background; whoever asks meanwhile must hear of it.
+        """Release the key of a request that definitely did not run."""
+        # The row is written in the background; until then peers must get this status from memory.
         with self._lock:
-            self._book.mark_not_run(claim.row.attempt)
+            self._registry.mark_not_run(claim.row.attempt)
         self._finish(claim, claim.row._replace(state=ClaimState.NOT_RUN))
 
     def unknown(self, claim: Claim) -> None:
-        """Leave a claim whose run ended without an outcome."""
+        """Close an attempt whose run ended without a known outcome; its row stays as it is."""
         with self._lock:
-            self._book.close(claim.row.attempt)
+            self._registry.close(claim.row.attempt)
 
     def find(self, customer: str, key: str) -> ClaimRow | None:
-        """Return the row of a claim, None when there is none; raise `ExternalSystemError`."""
+        """Return the stored row of a claim, or None; raise `ExternalSystemError`."""
         row = self._table.read([claim_key(customer, key)])[0]
         return _decode(row) if row.version else None
 
-    def word_of(self, row: ClaimRow) -> str:
-        """Return the state of a claimed row as far as its claimant tells it."""
-        word = self._word_of(row)
-        if word is AttemptStatus.NEVER:
+    def state_of(self, row: ClaimRow) -> str:
+        """Return the state of a claimed row as reported by its claimant.
+
+        One of "not-run", "running" and "unknown".
+        """
+        status = self._attempt_status(row)
+        if status is AttemptStatus.NEVER:
             return "not-run"
-        return "running" if word is AttemptStatus.RUNNING else "unknown"
+        return "running" if status is AttemptStatus.RUNNING else "unknown"
 
     def word(self, claimant: str, attempt: str) -> AttemptStatus:
-        """Answer a peer that asks about one of our attempts."""
+        """Return the status of one of this node's attempts, for a peer that queries it."""
         if claimant != self._claimant:
             return AttemptStatus.UNKNOWN
         with self._lock:
-            return self._book.word(attempt)
+            return self._registry.word(attempt)
 
     # --- claiming ----------------------------------------------------------
 
@@ -181,23 +187,23 @@
             while True:
                 with self._lock:
                     step = steps.send(event)
-                event = self._do(step)
+                event = self._perform(step)
         except StopIteration as ended:
             outcome: ClaimOutcome = ended.value
             return outcome
 
-    def _do(self, step: ClaimStep) -> ClaimEvent:
+    def _perform(self, step: ClaimStep) -> ClaimEvent:
         match step:
             case InsertClaim(row):
                 write = Write(claim_key(row.customer, row.key), _encode(row), if_absent=True)
-                return self._seen(row, lambda: self._submit(write))
+                return self._write_and_read(row, lambda: self._submit(write))
             case TakeOverClaim(row, version):
-                return self._seen(row, lambda: self._write_over(row, version))
+                return self._write_and_read(row, lambda: self._take_over(row, version))
             case AskClaimant(row):
-                return self._word_of(row)
+                return self._attempt_status(row)
 
-    def _seen(self, row: ClaimRow, write: Callable[[], Row]) -> StoredClaim | None:
-        """Return what is in the table after `write`, None when that is not known."""
+    def _write_and_read(self, row: ClaimRow, write: Callable[[], Row]) -> StoredClaim | None:
+        """Run `write` and return the claim now stored, or None if the result is unknown."""
         try:
             kept = write()
         except FutureTimeout:
@@ -207,17 +213,17 @@
             get().info("claim not confirmed", key=row.key, error=str(error))
         else:
             return StoredClaim(_decode(kept), kept.version)
-        self._note_unclean(row._replace(state=ClaimState.NOT_RUN))
+        self._mark_unsettled(row._replace(state=ClaimState.NOT_RUN))
         return None
 
-    def _write_over(self, row: ClaimRow, version: int) -> Row:
+    def _take_over(self, row: ClaimRow, version: int) -> Row:
         write = Write(claim_key(row.customer, row.key), _encode(row), expect=version)
         result = self._table.commit(Transaction((write,)))
         if result.ok:
             self._metrics.add("claims.taken_over")
         return result.rows[0]
 
-    def _word_of(self, row: ClaimRow) -> AttemptStatus | None:
+    def _attempt_status(self, row: ClaimRow) -> AttemptStatus | None:
         if row.claimant == self._claimant:
             return self.word(row.claimant, row.attempt)
         return self._ask(row)
@@ -230,15 +236,15 @@
         return pending.done.result(timeout=self._timeout)
 
     def _finish(self, claim: Claim, row: ClaimRow) -> None:
-        self._note_unclean(row)
+        self._mark_unsettled(row)
         key = claim_key(row.customer, row.key)
         self._inbox.put(_Pending(Write(key, _encode(row), expect=claim.version), Future()))
 
-    def _group(self) -> None:
+    def _group_writes(self) -> None:
         while (first := self._inbox.get()) is not None:
             group = [first]
             until = clock.now() + self._group_seconds
-            while len(group) < _MOST_IN_GROUP and (left := until - clock.now()) > 0:
+            while len(group) < _MAX_GROUP_WRITES and (left := until - clock.now()) > 0:
                 try:
                     pending = self._inbox.get(timeout=left)
                 except queue.Empty:
@@ -249,10 +255,10 @@
             self._commit(group)
 
     def _commit(self, group: list[_Pending]) -> None:
-        """Write the inserts of a group in one transaction, and the outcomes in another.
+        """Write the inserts of a group in one transaction and the outcomes in another.
 
-        An outcome whose row has changed meanwhile must not abort the others,
-        so a group of outcomes that fails is written one by one.
+        An outcome whose row has changed in the meantime must not abort the others,
+        so a group of outcomes that fails is retried one write at a time.
         """
         inserts = [p for p in group if p.write.if_absent]
         outcomes = [p for p in group if not p.write.if_absent]
@@ -267,14 +273,14 @@
             result = self._table.commit(Transaction(tuple(p.write for p in group)))
         except ExternalSystemError as error:
             return self._read_back(group, error)
-        self._table_worked(group)
+        self._record_commit(group)
         if result.ok:
             for pending, row in zip(group, result.rows, strict=True):
-                self._done(pending, row)
+                self._complete(pending, row)
         return result.ok
 
     def _read_back(self, group: list[_Pending], error: ExternalSystemError) -> bool:
-        """Learn what became of a commit whose answer was lost."""
+        """Read the rows back to find out whether a commit without a response took effect."""
         try:
             rows = self._table.read([p.write.key for p in group])
         except ExternalSystemError:
@@ -283,52 +289,52 @@
             rows = [Row(p.write.key, "", 0) for p in group]
         for pending, row in zip(group, rows, strict=True):
             if row.version:
-                self._done(pending, row)
+                self._complete(pending, row)
             else:
                 pending.done.set_exception(error)
         return True
 
-    def _done(self, pending: _Pending, row: Row) -> None:
+    def _complete(self, pending: _Pending, row: Row) -> None:
         written = row.value == pending.write.value
         if written and not pending.write.if_absent:
             attempt = _decode(row).attempt
-            self._unclean.pop(attempt, None)
+            self._unsettled.pop(attempt, None)
             with self._lock:
-                self._book.close(attempt)
+                self._registry.close(attempt)
         pending.done.set_result(row)
 
-    def _table_worked(self, group: list[_Pending]) -> None:
+    def _record_commit(self, group: list[_Pending]) -> None:
         with self._lock:
             self._breaker.succeeded()
         self._metrics.add("claims.commits")
         self._metrics.add("claims.written", len(group))
 
-    # --- cleaning up -------------------------------------------------------
+    # --- settling ----------------------------------------------------------
 
-    def _note_unclean(self, row: ClaimRow) -> None:
-        # By attempt: two attempts on one key may both be unsettled in an outage.
-        self._unclean[row.attempt] = _Unclean(row, clock.now())
+    def _mark_unsettled(self, row: ClaimRow) -> None:
+        # Keyed by attempt: in an outage two attempts on one key may both be unsettled.
+        self._unsettled[row.attempt] = _UnsettledClaim(row, clock.now())
 
-    def _clean(self) -> None:
-        while not self._stopped.wait(_CLEAN_SECONDS):
-            self._clean_once(age=_CLEAN_SECONDS)
+    def _settle_periodically(self) -> None:
+        while not self._stopped.wait(_SETTLE_INTERVAL_SECONDS):
+            self._settle_older_than(age=_SETTLE_INTERVAL_SECONDS)
 
-    def _clean_once(self, *, age: float) -> None:
-        """Write the outcomes that have not reached the table for `age` seconds."""
+    def _settle_older_than(self, *, age: float) -> None:
+        """Write the outcomes that have been missing from the table for at least `age` seconds."""
         now = clock.now()
-        for attempt, unclean in list(self._unclean.items()):
-            if now - unclean.since < age:
+        for attempt, unsettled in list(self._unsettled.items()):
+            if now - unsettled.since < age:
                 continue
             try:
-                self._clean_row(unclean.row)
+                self._settle_row(unsettled.row)
             except ExternalSystemError as error:
-                get().warning("claim not settled yet", key=unclean.row.key, error=str(error))
+                get().warning("claim not settled yet", key=unsettled.row.key, error=str(error))
                 return
-            self._unclean.pop(attempt, None)
+            self._unsettled.pop(attempt, None)
             with self._lock:
-                self._book.close(attempt)
+                self._registry.close(attempt)
 
-    def _clean_row(self, wanted: ClaimRow) -> None:
+    def _settle_row(self, wanted: ClaimRow) -> None:
         key = claim_key(wanted.customer, wanted.key)
         row = self._table.read([key])[0]
         if row.version and _decode(row).attempt == wanted.attempt:
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -21,7 +21,7 @@
 from . import clock
 from .board import Board
 from .callers import CallersApp
-from .claims import ClaimDesk
+from .claims import ClaimManager
 from .cluster import Cluster
 from .configuration import ConfigSync, poll_seconds
 from .crash_desk import CRASH_TURN_SECONDS, CrashDesk
@@ -117,7 +117,7 @@
             request_state=self._requests.state,
             crashes=self._crashes,
         )
-        self._claims = ClaimDesk(
+        self._claims = ClaimManager(
             table=self._table,
             claimant=f"{node['peer']}-{self._boot}",
             address=node["peer"],
--- a/packages/node/src/fielddrift_node/runtime.py
+++ b/packages/node/src/fielddrift_node/runtime.py
@@ -16,7 +16,7 @@
 
 from . import clock
 from .board import Board
-from .claims import ClaimDesk
+from .claims import ClaimManager
 from .configuration import ConfigSync
 from .crash_desk import CrashDesk
 from .exporter import Exporter
@@ -139,7 +139,7 @@
     targets: TargetClient
     stores: Stores
     links: Links
-    claims: ClaimDesk
+    claims: ClaimManager
     crashes: CrashDesk
     admission: Admission
     admission_lock: threading.Lock
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -24,7 +24,7 @@
 )
 from fielddrift_core.errors import ErrorKind, Ran, Refusal
 from fielddrift_core.interfaces import ExternalSystemError
-from fielddrift_node.claims import Claim, ClaimDesk
+from fielddrift_node.claims import Claim, ClaimManager
 from fielddrift_node.metrics import Metrics
 
 from .fakes import FakeTable
@@ -185,13 +185,13 @@
 class ClaimDeskTest(unittest.TestCase):
     def setUp(self) -> None:
         self.table = FakeTable()
-        self.desks: dict[str, ClaimDesk] = {}
+        self.desks: dict[str, ClaimManager] = {}
         self.silent: set[str] = set()
         for name in ("n1", "n2"):
             self._start(name)
 
-    def _start(self, name: str, **options: float) -> ClaimDesk:
-        desk = ClaimDesk(
+    def _start(self, name: str, **options: float) -> ClaimManager:
+        desk = ClaimManager(
             table=self.table,
             claimant=name,
             address=name,
