--- a/packages/node/src/fielddrift_node/cluster.py
+++ b/packages/node/src/fielddrift_node/cluster.py
@@ -34,7 +34,7 @@
 class CrashTalk(Protocol):
     """What is known of crashes, as peers tell it each other."""
 
-    def take(self, news: CrashUpdate) -> bool:
+    def merge(self, news: CrashUpdate) -> bool:
         """Take what a peer tells; return whether any of it is news."""
 
     def recent(self) -> CrashUpdate:
@@ -290,7 +290,7 @@
         self._take_members(message.members)
         with self._lock:
             news = self._membership.merge((), words, clock.now())
-        news |= self._crashes.take(crashes_from(message))
+        news |= self._crashes.merge(crashes_from(message))
         if news:
             self.spread()
         if self._config.hear(message.heard):
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -365,7 +365,7 @@
     def _heard_report(self, target: str, report: LoadReport) -> None:
         board = self._runtime.board
         board.heard_load(target, report.load(), report.epoch, report.versions)
-        self._crashes.heard_life(target, self._crashes.life(target, board.epoch(target)))
+        self._crashes.record_instance(target, self._crashes.life(target, board.epoch(target)))
         if report.leaving:
             self._cluster.hear_target(TargetWord(target, report.epoch, True))
 
--- a/packages/node/src/fielddrift_node/exchange.py
+++ b/packages/node/src/fielddrift_node/exchange.py
@@ -120,7 +120,7 @@
             now = clock.now()
             ran = now - self.sent_at
             run = LostRun(self.request_id, self.fingerprint, self.life, now, ran)
-            crashes.broke_off(run, target)
+            crashes.record_lost_run(run, target)
         if error.refused:
             crashes.refused(self.life)
 
--- a/tests/test_crash_desk.py
+++ b/tests/test_crash_desk.py
@@ -40,7 +40,7 @@
         )
 
     def _break_off(self, life: str = "t#1") -> None:
-        self.desk.broke_off(LostRun("r", "f", life, clock.now(), 0.1), self.target)
+        self.desk.record_lost_run(LostRun("r", "f", life, clock.now(), 0.1), self.target)
 
     def _hold(self) -> None:
         self.listener.close()
