--- a/packages/node/src/fielddrift_node/http_client.py
+++ b/packages/node/src/fielddrift_node/http_client.py
@@ -1,7 +1,7 @@
-"""Call targets and the platform over HTTP, many at a time, from one thread.
+"""Make concurrent HTTP calls to targets and the platform from one thread.
 
-The thread turns a pycurl `CurlMulti`; callers get `concurrent.futures`
-futures.  Failures say whether the call surely never reached the other side.
+The thread runs the event loop of a pycurl `CurlMulti`; callers get a `concurrent.futures`
+future of the response head.  Errors state whether the call certainly was not executed.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 __all__ = ["Call", "Head", "HttpClient", "Reply", "Stream"]
 
-_MOST_IDLE = 256
-_LOOP_SECONDS = 1.0
-_BROKEN_OFF = frozenset(
+_MAX_IDLE_COUNT = 256
+_MAX_SELECT_SECONDS = 1.0
+_CONNECTION_LOST_CODES = frozenset(
     {
         pycurl.E_GOT_NOTHING,
         pycurl.E_PARTIAL_FILE,
@@ -34,15 +34,14 @@
         pycurl.E_SEND_ERROR,
     }
 )
-"""Codes of connections that the other side closed before an answer was whole."""
+"""Error codes of connections that the server closed before the response was complete."""
 
 
 class Call(NamedTuple):
-    """One HTTP call.  `timeout` is in seconds, for the whole call.
+    """One HTTP call.  Both timeouts are in seconds; `timeout` covers the whole call.
 
-    `fresh` opens a connection of its own: on a kept one, libcurl itself sends
-    a request again when the connection turns out to be dead, which a call
-    that may not be repeated cannot bear.
+    `fresh` opens a new connection.  On a reused one, libcurl resends a request by itself if the
+    connection turns out to be dead, which is not safe for a call that must not be repeated.
     """
 
     method: str
@@ -55,14 +54,14 @@
 
 
 class Head(NamedTuple):
-    """Status and headers (lower case) of an answer."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
 
 
 class Reply(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Mapping[str, str]
@@ -73,23 +72,23 @@
 
 
 class Stream:
-    """An answer that is read while it arrives.
+    """A response that is read while it arrives.
 
-    Iterate over it for the body; the iteration raises `ExternalSystemError` when the
-    answer breaks off, or when nothing comes for `stall` seconds.  Close it to
-    cancel the call.
+    Iterate over it for the body.  The iteration raises `ExternalSystemError` if the response
+    is cut off, or if no data arrives for `stall_seconds`; None means no such limit.  Close the
+    stream to cancel the call.
     """
 
     def __init__(self, *, cancel: Callable[[Stream], None]) -> None:
         self.head: Future[Head] = Future()
-        self.stall: float | None = None
+        self.stall_seconds: float | None = None
         self._cancel = cancel
         self._chunks: queue.SimpleQueue[bytes | ExternalSystemError | None] = queue.SimpleQueue()
 
     def __iter__(self) -> Iterator[bytes]:
         while (chunk := self._next()) is not _END:
             chunks = [chunk]
-            # What has arrived together is handed on together.
+            # Yields all chunks received so far as one.
             while not self._chunks.empty() and isinstance(chunks[-1], bytes):
                 chunks.append(self._chunks.get())  # type: ignore[arg-type]
             data = b"".join(c for c in chunks if isinstance(c, bytes))
@@ -102,31 +101,31 @@
 
     def _next(self) -> bytes | ExternalSystemError | None:
         try:
-            return self._chunks.get(timeout=self.stall)
+            return self._chunks.get(timeout=self.stall_seconds)
         except queue.Empty:
-            return ExternalSystemError(f"nothing came for {self.stall} s")
+            return ExternalSystemError(f"no data received for {self.stall_seconds} s")
 
     def read(self) -> bytes:
-        """Return the rest of the body."""
+        """Return the rest of the body; raise `ExternalSystemError` like the iteration."""
         return b"".join(self)
 
     def close(self) -> None:
-        """Cancel the call; harmless once it has ended."""
+        """Cancel the call; no effect once it has ended."""
         self._cancel(self)
 
     def put(self, chunk: bytes) -> None:
-        """Hand a piece of the body to the reader."""
+        """Append a chunk of the body for the reader."""
         self._chunks.put(chunk)
 
     def end(self, error: ExternalSystemError | None) -> None:
-        """End the body, whole or with `error`."""
+        """End the body, complete if `error` is None, else with `error`."""
         if not self.head.done():
-            self.head.set_exception(error or ExternalSystemError("no answer"))
+            self.head.set_exception(error or ExternalSystemError("no response received"))
         self._chunks.put(error if error is not None else _END)
 
 
 class _Transfer:
-    """One easy handle on its way: collects headers, passes the body on."""
+    """One call in progress: collects the headers and forwards the body to the stream."""
 
     def __init__(self, *, call: Call, stream: Stream) -> None:
         self.call = call
@@ -167,60 +166,60 @@
 
 
 class HttpClient:
-    """Turn all outgoing calls of a node in one thread."""
+    """Run all outgoing HTTP calls of a node on one thread.  Thread-safe."""
 
     def __init__(self) -> None:
         self._multi = pycurl.CurlMulti()
         self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._on_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._on_timer)
-        self._multi.setopt(pycurl.M_MAXCONNECTS, _MOST_IDLE)
+        self._multi.setopt(pycurl.M_MAXCONNECTS, _MAX_IDLE_COUNT)
         self._selector = selectors.DefaultSelector()
         self._reader, self._writer = os.pipe()
         os.set_blocking(self._reader, False)
         self._selector.register(self._reader, selectors.EVENT_READ)
         self._timer: float | None = None
-        self._todo: deque[tuple[str, _Transfer | Stream]] = deque()
+        self._commands: deque[tuple[str, _Transfer | Stream]] = deque()
         self._by_stream: dict[Stream, pycurl.Curl] = {}
         self._transfers: dict[pycurl.Curl, _Transfer] = {}
-        self._spare: list[pycurl.Curl] = []
+        self._idle_handles: list[pycurl.Curl] = []
         self._stopped = False
         self._ended = False
-        self._todo_lock = threading.Lock()
-        self._thread = threading.Thread(target=self._turn, name="http-client", daemon=True)
+        self._commands_lock = threading.Lock()
+        self._thread = threading.Thread(target=self._run, name="http-client", daemon=True)
         self._thread.start()
 
     def stream(self, call: Call) -> Stream:
-        """Start `call`; return its answer to be read while it arrives."""
+        """Start `call`; return the stream of its response."""
         stream = Stream(cancel=self._cancel)
-        self._wake("add", _Transfer(call=call, stream=stream))
+        self._submit("add", _Transfer(call=call, stream=stream))
         return stream
 
     def request(self, call: Call) -> Reply:
-        """Make `call` and return its whole answer; raise `ExternalSystemError`."""
+        """Make `call` and return its complete response; raise `ExternalSystemError`."""
         stream = self.stream(call)
         head = stream.head.result()
         return Reply(head.status, head.headers, stream.read())
 
     def close(self) -> None:
-        """Stop the thread; calls on their way fail, and so do later ones."""
+        """Stop the thread; calls in progress and later calls fail."""
         self._stopped = True
         os.write(self._writer, b".")
-        self._thread.join(timeout=2 * _LOOP_SECONDS)
+        self._thread.join(timeout=2 * _MAX_SELECT_SECONDS)
 
     def _cancel(self, stream: Stream) -> None:
-        self._wake("cancel", stream)
+        self._submit("cancel", stream)
 
-    def _wake(self, what: str, item: _Transfer | Stream) -> None:
-        with self._todo_lock:
+    def _submit(self, what: str, item: _Transfer | Stream) -> None:
+        with self._commands_lock:
             ended = self._ended
             if not ended:
-                self._todo.append((what, item))
+                self._commands.append((what, item))
         if not ended:
             os.write(self._writer, b".")
         elif isinstance(item, _Transfer):
-            item.stream.end(_closed(not_executed=True))
+            item.stream.end(_closed_error(not_executed=True))
 
-    # --- in the thread -----------------------------------------------------
+    # --- on the client thread -----------------------------------------------------
 
     def _on_socket(self, what: int, fd: int, multi: pycurl.CurlMulti, data: object) -> None:
         if what == pycurl.POLL_REMOVE:
@@ -237,31 +236,31 @@
     def _on_timer(self, milliseconds: int) -> None:
         self._timer = None if milliseconds < 0 else clock.now() + milliseconds / 1000
 
-    def _turn(self) -> None:
+    def _run(self) -> None:
         try:
-            self._turn_until_stopped()
+            self._run_until_stopped()
         finally:
-            # Whoever waits for an answer would wait for ever without this thread.
-            self._end_all()
+            # Without this thread, callers that wait for a response would never return.
+            self._fail_all()
 
-    def _end_all(self) -> None:
-        with self._todo_lock:
+    def _fail_all(self) -> None:
+        with self._commands_lock:
             self._ended = True
-        while self._todo:
-            _, item = self._todo.popleft()
+        while self._commands:
+            _, item = self._commands.popleft()
             if isinstance(item, _Transfer):
-                item.stream.end(_closed(not_executed=True))
+                item.stream.end(_closed_error(not_executed=True))
         for transfer in self._transfers.values():
-            transfer.stream.end(_closed(not_executed=False))
+            transfer.stream.end(_closed_error(not_executed=False))
 
-    def _turn_until_stopped(self) -> None:
+    def _run_until_stopped(self) -> None:
         while not self._stopped:
             for key, events in self._selector.select(self._timeout()):
                 if key.fd == self._reader:
                     os.read(self._reader, 65536)
                 else:
-                    self._act(key.fd, events)
-            self._take_todo()
+                    self._handle_event(key.fd, events)
+            self._run_commands()
             if self._timer is not None and clock.now() >= self._timer:
                 self._timer = None
                 self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
@@ -269,24 +268,24 @@
 
     def _timeout(self) -> float:
         if self._timer is None:
-            return _LOOP_SECONDS
-        return max(0.0, min(_LOOP_SECONDS, self._timer - clock.now()))
+            return _MAX_SELECT_SECONDS
+        return max(0.0, min(_MAX_SELECT_SECONDS, self._timer - clock.now()))
 
-    def _act(self, fd: int, events: int) -> None:
+    def _handle_event(self, fd: int, events: int) -> None:
         mask = pycurl.CSELECT_IN if events & selectors.EVENT_READ else 0
         mask |= pycurl.CSELECT_OUT if events & selectors.EVENT_WRITE else 0
         self._multi.socket_action(fd, mask)
 
-    def _take_todo(self) -> None:
-        while self._todo:
-            what, item = self._todo.popleft()
+    def _run_commands(self) -> None:
+        while self._commands:
+            what, item = self._commands.popleft()
             if isinstance(item, _Transfer):
                 self._add(item)
             elif (curl := self._by_stream.get(item)) is not None:
                 self._finish(curl, ExternalSystemError("cancelled"))
 
     def _add(self, transfer: _Transfer) -> None:
-        curl = self._spare.pop() if self._spare else pycurl.Curl()
+        curl = self._idle_handles.pop() if self._idle_handles else pycurl.Curl()
         transfer.prepare(curl)
         self._transfers[curl] = transfer
         self._by_stream[transfer.stream] = curl
@@ -294,22 +293,22 @@
 
     def _collect(self) -> None:
         while True:
-            left, good, bad = self._multi.info_read()
-            for curl in good:
+            left, succeeded, errors = self._multi.info_read()
+            for curl in succeeded:
                 self._finish(curl, None)
-            for curl, code, message in bad:
+            for curl, code, message in errors:
                 self._finish(curl, self._error(curl, code, message))
             if not left:
                 return
 
     def _error(self, curl: pycurl.Curl, code: int, message: str) -> ExternalSystemError:
-        # Nothing can have run where no connection came to stand.  On a kept one that was dead
-        # libcurl has sent the request before, whatever became of the connection after it.
+        # A call is not executed if no connection was established.  If a reused connection was
+        # dead, libcurl had already sent the request on it, even if reconnecting then failed.
         sent = curl.getinfo(pycurl.REQUEST_SIZE) > 0
         no_connection = code in (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
         refused = no_connection and curl.getinfo(pycurl.OS_ERRNO) == errno.ECONNREFUSED
         not_executed = not sent and (no_connection or code == pycurl.E_OPERATION_TIMEDOUT)
-        broken = code in _BROKEN_OFF or (sent and no_connection)
+        broken = code in _CONNECTION_LOST_CODES or (sent and no_connection)
         url = self._transfers[curl].call.url
         return ExternalSystemError(
             f"{url}: {message or code}", not_executed=not_executed, refused=refused, broken=broken
@@ -320,10 +319,10 @@
         del self._by_stream[transfer.stream]
         self._multi.remove_handle(curl)
         curl.reset()
-        if len(self._spare) < _MOST_IDLE:
-            self._spare.append(curl)
+        if len(self._idle_handles) < _MAX_IDLE_COUNT:
+            self._idle_handles.append(curl)
         transfer.stream.end(error)
 
 
-def _closed(*, not_executed: bool) -> ExternalSystemError:
-    return ExternalSystemError("this process's client was closed", not_executed=not_executed)
+def _closed_error(*, not_executed: bool) -> ExternalSystemError:
+    return ExternalSystemError("HTTP client of this process was closed", not_executed=not_executed)
--- a/packages/node/src/fielddrift_node/relay.py
+++ b/packages/node/src/fielddrift_node/relay.py
@@ -99,7 +99,7 @@
 
     def _pass_on(self) -> Iterator[bytes]:
         """Yield what the present stream gives until it ends or breaks."""
-        self._started.stream.stall = STALL_SECONDS
+        self._started.stream.stall_seconds = STALL_SECONDS
         try:
             for data in self._started.stream:
                 ready = self._sequencer.feed(data)
