--- a/packages/node/src/fielddrift_node/callers.py
+++ b/packages/node/src/fielddrift_node/callers.py
@@ -1,4 +1,4 @@
-"""Answer callers and operators over HTTP."""
+"""WSGI application that serves the HTTP API of callers and operators."""
 
 from __future__ import annotations
 
@@ -28,15 +28,16 @@
 __all__ = ["CallersApp"]
 
 SERVICE_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
-_LONGEST_STATEMENT = 65_536
-_WITH_TICKET = (ErrorKind.OVERLOADED, ErrorKind.OVER_SHARE, ErrorKind.DEADLINE)
+_MAX_STATEMENT_BYTES = 65_536
+_TICKET_KINDS = (ErrorKind.OVERLOADED, ErrorKind.OVER_SHARE, ErrorKind.DEADLINE)
 
 
 class CallersApp:
-    """A WSGI application; every answer but the streams is whole at once.
+    """A WSGI application; each response except a streamed one is sent with its complete body.
 
-    `entry` gives the entry answer for a model, `next_id` draws request ids,
-    `ask_state` finds a request's state wherever it was taken.
+    `entry` returns the entry answer for a model and `next_id` a new request id.
+    `ask_state` takes the id of a request and the name of its customer, and
+    returns the state of the request, whichever node accepted it, or None.
     """
 
     def __init__(
@@ -77,7 +78,9 @@
             response = self._answer(request, request_id, environ)
         except Exception:
             get().exception("request failed", path=request.path)
-            refusal = Refusal(ErrorKind.INTERNAL, "the node failed; see its log", Ran.UNKNOWN)
+            refusal = Refusal(
+                ErrorKind.INTERNAL, "internal error in the node; see its log", Ran.UNKNOWN
+            )
             response = self._refuse(refusal, request_id)
         response.headers["Fielddrift-Request"] = request_id
         return response(environ, start_response)
@@ -96,7 +99,7 @@
         response: Response = endpoint(request, request_id, **values)
         return response
 
-    # --- entry and state ---------------------------------------------------
+    # --- entry and request state -------------------------------------------
 
     def _get_entry(self, request: Request, request_id: str) -> Response:
         answer = self._entry(request.args.get("model", ""))
@@ -118,7 +121,7 @@
         try:
             row = self._runtime.claims.find(customer, key)
         except ExternalSystemError as error:
-            detail = f"the state of {key!r} cannot be read: {error}"
+            detail = f"cannot read the state of {key!r}: {error}"
             return self._refuse(
                 Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.UNKNOWN, 2.0), request_id
             )
@@ -147,7 +150,7 @@
     ) -> Response:
         places = self._runtime.places
         if not places.take():
-            detail = "this node has as many requests as it can hold"
+            detail = "this node has reached its limit of concurrent requests"
             refusal = Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, 0.5)
             return self._refuse(truthful(refusal, dict(request.headers)), request_id)
         try:
@@ -168,7 +171,7 @@
             if exchange.claim is None:
                 refusal = truthful(refusal, dict(request.headers))
             response = self._refuse(refusal, request_id)
-            if refusal.kind in _WITH_TICKET and refusal.retry_after is not None:
+            if refusal.kind in _TICKET_KINDS and refusal.retry_after is not None:
                 ticket = self._runtime.tickets.issue(exchange.customer.name, refusal.retry_after)
                 response.headers[TICKET_HEADER] = ticket
             return response
@@ -191,7 +194,7 @@
     # --- operators ---------------------------------------------------------
 
     def _statement(self, request: Request, request_id: str) -> Response:
-        request.max_content_length = _LONGEST_STATEMENT
+        request.max_content_length = _MAX_STATEMENT_BYTES
         try:
             raw = request.get_data()
         except HTTPException as error:
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -25,7 +25,7 @@
 from .cluster import Cluster
 from .configuration import ConfigSync, poll_seconds
 from .crash_desk import CRASH_TURN_SECONDS, CrashDesk
-from .duties import Duties, StoreTender, TargetTender, duty_names
+from .duties import Duties, StoreReconciler, TargetReconciler, duty_names
 from .exporter import Exporter
 from .http_client import HttpClient
 from .leasing import Leases, candidates
@@ -175,10 +175,10 @@
         self._leases = Leases(table=self._table, holder=f"{holder}-{self._boot}")
         self._duties = Duties(
             leases=self._leases,
-            target_tender=TargetTender(
+            target_reconciler=TargetReconciler(
                 targets=self._runtime.targets, pool=self._pool, metrics=self._metrics
             ),
-            store_tender=StoreTender(stores=self._runtime.stores, metrics=self._metrics),
+            store_reconciler=StoreReconciler(stores=self._runtime.stores, metrics=self._metrics),
             week_start=self._settings["week_start"],
         )
 
--- a/packages/node/src/fielddrift_node/duties.py
+++ b/packages/node/src/fielddrift_node/duties.py
@@ -1,7 +1,8 @@
-"""Do what one node does for all: order targets into their wanted state, tend store hosts.
+"""Run the duties that one node performs for all: reconciling targets and store hosts.
 
-Every duty is safe when two nodes do it at once: orders carry the lease's
-fence and state the wanted end; what is freed is named with its attempt.
+Every duty is safe when two nodes perform it at once: orders carry the fencing
+token of the lease and state the wanted end state, and a prefix is freed under
+the id of the attempt that wrote it.
 """
 
 from __future__ import annotations
@@ -21,25 +22,29 @@
 from .stores import StoreClient, Stores
 from .targets import Order, TargetClient
 
-__all__ = ["Duties", "StoreTender", "TargetTender", "duty_names"]
+__all__ = ["Duties", "StoreReconciler", "TargetReconciler", "duty_names"]
 
-GRACE_SECONDS = 3.0
-PREVIOUS_SECONDS = 8.0
-ORPHAN_SECONDS = 60.0
-STORE_SECONDS = 10.0
-_ORDERS = "orders/"
-_HOLDING = "holding/"
+DELETE_DELAY_SECONDS = 3.0
+"""Time between removing a manifest and deleting its parts, for readers that had found it."""
+PREVIOUS_VERSION_SECONDS = 8.0
+"""Time for which the previous version stays loaded after a version change."""
+ORPHAN_PART_SECONDS = 60.0
+"""Time from when a part is first seen without a manifest until it is deleted."""
+STORE_INTERVAL_SECONDS = 10.0
+"""Minimum interval between two rounds on one store host; each lists all of its prefixes."""
+_ORDERS_PREFIX = "orders/"
+_HOLDING_PREFIX = "holding/"
 
 
 def duty_names(configuration: Configuration) -> list[str]:
-    """Return the names of all duties that a configuration asks for."""
+    """Return the names of all duties of a configuration: one per deployment and per store host."""
     return [
-        *(_ORDERS + model for model in configuration.deployments),
-        *(_HOLDING + store for store in configuration.stores),
+        *(_ORDERS_PREFIX + model for model in configuration.deployments),
+        *(_HOLDING_PREFIX + store for store in configuration.stores),
     ]
 
 
-class TargetTender:
+class TargetReconciler:
     """Bring the engines of a deployment into their wanted state."""
 
     def __init__(
@@ -48,41 +53,43 @@
         self._targets = targets
         self._pool = pool
         self._metrics = metrics
-        self._in_force: dict[str, tuple[str, float]] = {}
+        self._version_since: dict[str, tuple[str, float]] = {}
         self._busy: dict[str, Future[None]] = {}
 
-    def tend(self, deployment: Deployment, engines: tuple[Target, ...], fence: int) -> None:
-        """Order what differs from the wanted state, and read it back.
+    def reconcile(self, deployment: Deployment, engines: tuple[Target, ...], fence: int) -> None:
+        """Start sending an order to each engine whose state differs from the wanted one.
 
-        A target that checks no orders may have been given an old one by
-        another node: its state is read each time, not assumed.  No engine
-        waits for another that is slow to load.
+        The state of each engine is read in every round: a target that does not
+        check fencing tokens may have applied an outdated order of another node.
+        Engines are handled in parallel, so that one that loads slowly delays
+        no other.
         """
         versions = self._wanted(deployment)
         for engine in engines:
             order = Order(fence, deployment.model, versions, deployment.adapters, engine.work)
             busy = self._busy.get(engine.name)
             if busy is None or busy.done():
-                self._busy[engine.name] = self._pool.submit(self._try_one, engine, order)
+                self._busy[engine.name] = self._pool.submit(self._try_engine, engine, order)
 
-    def _try_one(self, engine: Target, order: Order) -> None:
+    def _try_engine(self, engine: Target, order: Order) -> None:
         try:
-            self._tend_one(engine, order)
+            self._reconcile_engine(engine, order)
         except ExternalSystemError as error:
             get().info("order not confirmed", target=engine.name, error=str(error))
 
     def _wanted(self, deployment: Deployment) -> tuple[str, ...]:
-        """Return the versions to order; the previous one stays for a while after a swap."""
+        """Return the versions to order: for `PREVIOUS_VERSION_SECONDS` after a change also the
+        previous one."""
         now = clock.now()
-        version, since = self._in_force.get(deployment.model, ("", now))
+        version, since = self._version_since.get(deployment.model, ("", now))
         if version != deployment.version:
             since = now
-            self._in_force[deployment.model] = (deployment.version, since)
-        if deployment.previous and now - since < PREVIOUS_SECONDS:
+            self._version_since[deployment.model] = (deployment.version, since)
+        if deployment.previous and now - since < PREVIOUS_VERSION_SECONDS:
             return (*deployment.wanted, deployment.previous)
         return deployment.wanted
 
-    def _tend_one(self, engine: Target, order: Order) -> None:
+    def _reconcile_engine(self, engine: Target, order: Order) -> None:
         if order.holds(self._targets.state(engine)):
             return
         self._metrics.add("duties.orders")
@@ -90,23 +97,27 @@
             self._metrics.add("duties.fenced")
 
 
-class StoreTender:
-    """Keep a store host within its room, and free what is no longer worth it.
+class StoreReconciler:
+    """Keep a store host within its capacity and evict the prefixes that are worth the least.
 
-    Freeing takes the manifest away first, waits until readers that had found
-    it are done, and only then deletes the parts.
+    Eviction removes the manifest first, waits `DELETE_DELAY_SECONDS` for readers
+    that had found it, and only then deletes the parts.
     """
 
     def __init__(self, *, stores: Stores, metrics: Metrics) -> None:
         self._stores = stores
         self._metrics = metrics
-        self._freed: list[tuple[float, StoreHost, str]] = []
-        self._orphans: dict[tuple[str, str], float] = {}
+        self._pending_deletes: list[tuple[float, StoreHost, str]] = []
+        self._orphan_since: dict[tuple[str, str], float] = {}
 
-    def tend(
+    def reconcile(
         self, store: StoreHost, configuration: Configuration, week_second: float, now: float
     ) -> None:
-        """Do one round on a store host; raise `ExternalSystemError`."""
+        """Run one round on a store host.
+
+        `week_second` is the time since the start of the week, `now` that of `clock.now`,
+        both in seconds.  Raises `ExternalSystemError` when a call to the host fails.
+        """
         client = self._stores.client(store)
         held = client.held()
         wanted = plan_tiers(
@@ -117,45 +128,47 @@
             week_second=week_second,
         )
         for entry in wanted.demote:
-            self._move(client, entry, "disk")
+            self._set_tier(client, entry, "disk")
         for entry in wanted.promote:
-            self._move(client, entry, "memory")
+            self._set_tier(client, entry, "memory")
         for entry in wanted.free:
-            self._free(client, store, entry, now)
-        self._delete_freed(now)
-        self._sweep(client, store, held, now)
+            self._evict(client, store, entry, now)
+        self._delete_parts(now)
+        self._delete_orphans(client, store, held, now)
 
-    def _move(self, client: StoreClient, entry: StoredPrefix, tier: str) -> None:
+    def _set_tier(self, client: StoreClient, entry: StoredPrefix, tier: str) -> None:
         client.set_tier(entry.path, tier)
         self._metrics.add("holding.moved")
 
-    def _free(self, client: StoreClient, store: StoreHost, entry: StoredPrefix, now: float) -> None:
+    def _evict(
+        self, client: StoreClient, store: StoreHost, entry: StoredPrefix, now: float
+    ) -> None:
         if client.remove(entry.path, entry.attempt):
             self._metrics.add("holding.freed")
-            self._freed.append((now + GRACE_SECONDS, store, entry.attempt))
+            self._pending_deletes.append((now + DELETE_DELAY_SECONDS, store, entry.attempt))
 
-    def _delete_freed(self, now: float) -> None:
-        due = [entry for entry in self._freed if entry[0] <= now]
-        self._freed = [entry for entry in self._freed if entry[0] > now]
+    def _delete_parts(self, now: float) -> None:
+        due = [entry for entry in self._pending_deletes if entry[0] <= now]
+        self._pending_deletes = [entry for entry in self._pending_deletes if entry[0] > now]
         for _, store, attempt in due:
             client = self._stores.client(store)
             for part in client.parts():
                 if part.startswith(attempt + "/"):
                     client.delete_part(part)
 
-    def _sweep(
+    def _delete_orphans(
         self, client: StoreClient, store: StoreHost, held: list[StoredPrefix], now: float
     ) -> None:
-        """Delete parts whose manifest never came, or whose freeing was cut short."""
+        """Delete parts whose manifest was never written or whose eviction was interrupted."""
         known = {entry.attempt for entry in held}
         parts = client.parts()
         for part in parts:
             key = (store.name, part)
             if part.split("/")[0] in known:
-                self._orphans.pop(key, None)
-            elif now - self._orphans.setdefault(key, now) >= ORPHAN_SECONDS:
+                self._orphan_since.pop(key, None)
+            elif now - self._orphan_since.setdefault(key, now) >= ORPHAN_PART_SECONDS:
                 client.delete_part(part)
-                del self._orphans[key]
+                del self._orphan_since[key]
                 self._metrics.add("holding.swept")
 
 
@@ -166,40 +179,43 @@
         self,
         *,
         leases: Leases,
-        target_tender: TargetTender,
-        store_tender: StoreTender,
+        target_reconciler: TargetReconciler,
+        store_reconciler: StoreReconciler,
         week_start: float,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._leases = leases
-        self._target_tender = target_tender
-        self._store_tender = store_tender
+        self._target_reconciler = target_reconciler
+        self._store_reconciler = store_reconciler
         self._week_start = week_start
         self._wall_clock = wall_clock
-        self._tended_at: dict[str, float] = {}
+        self._reconciled_at: dict[str, float] = {}
 
     def turn(self, configuration: Configuration) -> None:
-        """Do one round of all duties held."""
+        """Run one round of all duties whose leases are held."""
         for model, deployment in configuration.deployments.items():
-            fence = self._leases.fence(_ORDERS + model)
+            fence = self._leases.fence(_ORDERS_PREFIX + model)
             if fence is not None:
                 engines = configuration.serving(TargetRole.ENGINE, model)
-                self._target_tender.tend(deployment, engines, fence)
+                self._target_reconciler.reconcile(deployment, engines, fence)
         for name, store in configuration.stores.items():
-            if self._leases.fence(_HOLDING + name) is not None and self._due(name):
-                self._tend_store(store, configuration)
+            if self._leases.fence(_HOLDING_PREFIX + name) is not None and self._due(name):
+                self._reconcile_store(store, configuration)
 
     def _due(self, store: str) -> bool:
-        """Return whether it is time to list a store host again: its list is long."""
+        """Return whether a store host is due for a round, and if so, start its next interval.
+
+        The rounds are spaced out because listing the prefixes of a host takes long.
+        """
         now = clock.now()
-        if now - self._tended_at.get(store, float("-inf")) < STORE_SECONDS:
+        if now - self._reconciled_at.get(store, float("-inf")) < STORE_INTERVAL_SECONDS:
             return False
-        self._tended_at[store] = now
+        self._reconciled_at[store] = now
         return True
 
-    def _tend_store(self, store: StoreHost, configuration: Configuration) -> None:
+    def _reconcile_store(self, store: StoreHost, configuration: Configuration) -> None:
         week_second = (self._wall_clock() - self._week_start) % WEEK_SECONDS
         try:
-            self._store_tender.tend(store, configuration, week_second, clock.now())
+            self._store_reconciler.reconcile(store, configuration, week_second, clock.now())
         except ExternalSystemError as error:
-            get().info("store host not tended", store=store.name, error=str(error))
+            get().info("store host round failed", store=store.name, error=str(error))
--- a/packages/node/src/fielddrift_node/servers.py
+++ b/packages/node/src/fielddrift_node/servers.py
@@ -1,8 +1,9 @@
-"""Serve the own interface's application over the one HTTP path of the node.
+"""Serve a WSGI application with the node's asynchronous HTTP server.
 
-The event loop reads requests and writes answers; the application, which
-blocks, runs on a bounded pool.  Pieces of an answer go out as they come.  When
-a caller leaves, the application hears of it at its next piece.
+The event loop reads requests and writes responses; the application, which
+blocks, runs on a bounded thread pool.  Each chunk of a response is sent as
+soon as the application yields it.  When a caller disconnects, the application
+is stopped at its next chunk.
 """
 
 from __future__ import annotations
@@ -31,34 +32,35 @@
 
 _START_SECONDS = 10.0
 _STOP_SECONDS = 5.0
-_END_SECONDS = 1.0
-"""Time for answers that were cancelled to end, of what a stop waits for the loop."""
-_BODY_SLACK = 1024 * 1024
-"""Bytes beyond the longest prompt that a request may have: the application names the fault."""
-_LOOK_SECONDS = 0.2
-"""How often a thread that waits for the loop looks whether that still runs."""
-_QUEUED_PIECES = 64
-"""Pieces of one answer that wait for a slow caller before the application is held up."""
+_CANCEL_SECONDS = 1.0
+"""Time for cancelled responses to end; part of the time that `stop` waits for the loop."""
+_BODY_SLACK_BYTES = 1024 * 1024
+"""Bytes that a body may have beyond the longest prompt, so that the application reports a prompt
+that is too long."""
+_POLL_SECONDS = 0.2
+"""Interval at which a thread that waits for the loop checks whether it still runs."""
+_MAX_QUEUED_CHUNKS = 64
+"""Chunks of one response that are queued for a slow caller before the application blocks."""
 
-_Application = Callable[[Any, Any], Iterable[bytes]]
+_WSGIApplication = Callable[[Any, Any], Iterable[bytes]]
 
 
-class _CallerLeft(Exception):
-    """The caller closed its connection before its answer was whole."""
+class _CallerDisconnected(Exception):
+    """The caller closed its connection, or the server stopped, before the response was complete."""
 
 
-class _Ended(Enum):
-    """How an application's answer ended; put behind its last piece."""
+class _EndMarker(Enum):
+    """How the application's response ended; queued after its last chunk."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     FAILED = "failed"
 
 
-_Pieces = asyncio.Queue[bytes | _Ended]
+_Chunks = asyncio.Queue[bytes | _EndMarker]
 
 
-class _Head:
-    """The head that the application gave, once it did."""
+class _ResponseHead:
+    """Status and headers of a response, set when the application calls `start_response`."""
 
     def __init__(self) -> None:
         self.status = 500
@@ -67,21 +69,32 @@
     def start_response(
         self, status: str, headers: list[tuple[str, str]], exc_info: object = None
     ) -> None:
-        """Take the head."""
+        """Store the status and the headers (the `start_response` of PEP 3333)."""
         self.status = int(status.partition(" ")[0])
         self.headers = headers
 
 
 class ApplicationServer:
-    """Serve `app` at an address, from a thread of its own."""
+    """Serve the WSGI application `app` at an address, in a thread of its own.
 
-    def __init__(self, *, app: _Application, host: str, port: int, threads: int, body: int) -> None:
+    `threads` is the size of the pool that runs the application, `body` the
+    length of the longest prompt in bytes.  Raises `OSError` when the address
+    cannot be bound.
+    """
+
+    def __init__(
+        self, *, app: _WSGIApplication, host: str, port: int, threads: int, body: int
+    ) -> None:
         self._app = app
         self._host, self._port = host, port
         self._pool = ThreadPoolExecutor(threads, thread_name_prefix="caller")
-        limits = Limits(body_bytes=body + _BODY_SLACK, header_bytes=64 * 1024, idle_seconds=60.0)
+        limits = Limits(
+            body_bytes=body + _BODY_SLACK_BYTES, header_bytes=64 * 1024, idle_seconds=60.0
+        )
         self._loop = SuspendAwareLoop()
-        self._server = Server(handler=self._handle, limits=lambda: limits, format_fault=_problem)
+        self._server = Server(
+            handler=self._handle, limits=lambda: limits, format_fault=_format_fault
+        )
         self._ready = threading.Event()
         self._stopped = threading.Event()
         self._fault: OSError | None = None
@@ -92,13 +105,13 @@
             raise self._fault
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop the server: close its connections and cancel the requests that wait for a thread."""
         self._stopped.set()
         self._loop.call_soon_threadsafe(self._close)
         self._thread.join(_STOP_SECONDS)
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    # --- the loop's thread ------------------------------------------------------
+    # --- event loop thread ------------------------------------------------------
 
     def _run(self) -> None:
         try:
@@ -109,15 +122,15 @@
             return
         self._ready.set()
         self._loop.run_forever()
-        self._loop.run_until_complete(self._end_answers())
+        self._loop.run_until_complete(self._cancel_responses())
 
-    async def _end_answers(self) -> None:
-        """Let the answers end that the close has cancelled: a task must not outlive its loop."""
+    async def _cancel_responses(self) -> None:
+        """Cancel the remaining responses and wait for them: a task must not outlive its loop."""
         answers = asyncio.all_tasks() - {asyncio.current_task()}
         for answer in answers:
             answer.cancel()
         if answers:
-            await asyncio.wait(answers, timeout=_END_SECONDS)
+            await asyncio.wait(answers, timeout=_CANCEL_SECONDS)
 
     def _close(self) -> None:
         self._server.stop_accepting()
@@ -125,85 +138,85 @@
         self._loop.call_soon(self._loop.stop)
 
     async def _handle(self, request: Request, responder: Responder) -> None:
-        pieces: _Pieces = asyncio.Queue(_QUEUED_PIECES)
-        head, left = _Head(), threading.Event()
-        work = self._loop.run_in_executor(self._pool, self._apply, request, head, pieces, left)
+        chunks: _Chunks = asyncio.Queue(_MAX_QUEUED_CHUNKS)
+        head, left = _ResponseHead(), threading.Event()
+        work = self._loop.run_in_executor(self._pool, self._apply, request, head, chunks, left)
         try:
-            piece = await pieces.get()
-            if isinstance(piece, bytes):
+            chunk = await chunks.get()
+            if isinstance(chunk, bytes):
                 headers = Headers([(n.encode(), v.encode("latin-1")) for n, v in head.headers])
                 length = headers.text(b"content-length")
                 kept = Headers(headers.without_hop_by_hop())
                 responder.start(head.status, kept, int(length) if length else None)
-            while isinstance(piece, bytes):
-                responder.write(piece)
+            while isinstance(chunk, bytes):
+                responder.write(chunk)
                 await responder.drain()
-                piece = await pieces.get()
-            if piece is _Ended.WHOLE:
+                chunk = await chunks.get()
+            if chunk is _EndMarker.COMPLETE:
                 responder.end()
             else:
                 responder.cut()
         finally:
             left.set()
-            self._unblock(pieces)
+            self._drain_queue(chunks)
         await work
 
-    def _unblock(self, pieces: _Pieces) -> None:
-        """Let the application run on to where it hears that its caller left."""
-        while not pieces.empty():
-            pieces.get_nowait()
+    def _drain_queue(self, chunks: _Chunks) -> None:
+        """Empty the queue, so that a blocked application reaches its check for a disconnect."""
+        while not chunks.empty():
+            chunks.get_nowait()
 
-    # --- a pool's thread ----------------------------------------------------------
+    # --- pool threads -------------------------------------------------------------
 
     def _apply(
         self,
         request: Request,
-        head: _Head,
-        pieces: _Pieces,
+        head: _ResponseHead,
+        chunks: _Chunks,
         left: threading.Event,
     ) -> None:
-        """Run the application, and pass its pieces to the loop."""
+        """Run the application and queue its chunks for the event loop."""
 
-        def put(piece: bytes | _Ended) -> None:
+        def put(chunk: bytes | _EndMarker) -> None:
             if left.is_set() or self._stopped.is_set():
-                raise _CallerLeft
-            placed = asyncio.run_coroutine_threadsafe(pieces.put(piece), self._loop)
+                raise _CallerDisconnected
+            future = asyncio.run_coroutine_threadsafe(chunks.put(chunk), self._loop)
             while True:
                 try:
-                    placed.result(_LOOK_SECONDS)
+                    future.result(_POLL_SECONDS)
                     return
                 except FutureTimeout:
-                    # A loop that was stopped never answers; the thread must still end.
+                    # A stopped loop never completes the future; the thread must still end.
                     if left.is_set() or self._stopped.is_set():
-                        placed.cancel()
-                        raise _CallerLeft from None
+                        future.cancel()
+                        raise _CallerDisconnected from None
 
         body: Iterable[bytes] = ()
         try:
             body = self._app(_environ(request, self._host, self._port), head.start_response)
             empty = True
-            for piece in body:
-                if piece:
-                    put(piece)
+            for chunk in body:
+                if chunk:
+                    put(chunk)
                     empty = False
             if empty:
                 put(b"")
-            put(_Ended.WHOLE)
-        except _CallerLeft:
-            get().info("caller left", path=request.head.target.decode("latin-1"))
+            put(_EndMarker.COMPLETE)
+        except _CallerDisconnected:
+            get().info("caller disconnected", path=request.head.target.decode("latin-1"))
         except Exception:
             get().exception("answer failed", path=request.head.target.decode("latin-1"))
-            # The loop would wait for the next piece for ever.
-            with contextlib.suppress(_CallerLeft):
-                put(_Ended.FAILED)
+            # Without an end marker, the event loop would wait for the next chunk forever.
+            with contextlib.suppress(_CallerDisconnected):
+                put(_EndMarker.FAILED)
         finally:
             close = getattr(body, "close", None)
             if close is not None:
                 close()
 
 
-def _problem(fault: Fault) -> FaultAnswer:
-    """Word a request that cannot be read as a problem document."""
+def _format_fault(fault: Fault) -> FaultAnswer:
+    """Return the problem document for a request that cannot be parsed."""
     kind = (
         ErrorKind.TOO_LARGE
         if fault.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -215,7 +228,7 @@
 
 
 def _environ(request: Request, host: str, port: int) -> dict[str, Any]:
-    """Return the request as PEP 3333 spells it."""
+    """Return the WSGI environment of a request (PEP 3333)."""
     path, _, query = request.head.target.partition(b"?")
     environ: dict[str, Any] = {
         "REQUEST_METHOD": request.head.method.decode("ascii"),
--- a/tests/test_promise_blocks.py
+++ b/tests/test_promise_blocks.py
@@ -7,7 +7,7 @@
 import unittest
 
 from fielddrift_core.model import Configuration, HoldRule, StoreHost
-from fielddrift_node.duties import GRACE_SECONDS, ORPHAN_SECONDS, StoreTender
+from fielddrift_node.duties import DELETE_DELAY_SECONDS, ORPHAN_PART_SECONDS, StoreReconciler
 from fielddrift_node.metrics import Metrics
 from fielddrift_standins.check import expected_text, problem, text_of
 from fielddrift_standins.fetch import Fetched, fetch, fetch_json
@@ -162,7 +162,7 @@
 
 
 class _FakeClient:
-    """A store host in memory, as the tender sees it."""
+    """A store host in memory, as the reconciler sees it."""
 
     def __init__(self) -> None:
         self.manifests: dict[str, str] = {}
@@ -198,48 +198,48 @@
         return self._client
 
 
-class StoreTenderTest(unittest.TestCase):
+class StoreReconcilerTest(unittest.TestCase):
     STORE = StoreHost("s", "127.0.0.1:1", "dc", 1000, 1000, 1e6)
 
     def setUp(self) -> None:
         self.client = _FakeClient()
         self.configuration = Configuration(holds={"c": HoldRule("c", 60.0)})
 
-    def _tender(self) -> StoreTender:
+    def _reconciler(self) -> StoreReconciler:
         stores = _FakeStores(self.client)
-        return StoreTender(stores=stores, metrics=Metrics(address=""))  # type: ignore[arg-type]
+        return StoreReconciler(stores=stores, metrics=Metrics(address=""))  # type: ignore[arg-type]
 
-    def _tend(self, tender: StoreTender, now: float) -> None:
-        tender.tend(self.STORE, self.configuration, 0.0, now)
+    def _reconcile(self, reconciler: StoreReconciler, now: float) -> None:
+        reconciler.reconcile(self.STORE, self.configuration, 0.0, now)
 
     def test_the_manifest_goes_first_and_the_parts_after_the_readers_grace(self) -> None:
         self.client.manifests["p"] = "a1"
         self.client.stored = ["a1/0"]
-        tender = self._tender()
-        self._tend(tender, 0.0)
+        reconciler = self._reconciler()
+        self._reconcile(reconciler, 0.0)
         self.assertEqual((self.client.manifests, self.client.stored), ({}, ["a1/0"]))
-        self._tend(tender, GRACE_SECONDS - 0.1)
+        self._reconcile(reconciler, DELETE_DELAY_SECONDS - 0.1)
         self.assertEqual(self.client.stored, ["a1/0"])
-        self._tend(tender, GRACE_SECONDS)
+        self._reconcile(reconciler, DELETE_DELAY_SECONDS)
         self.assertEqual(self.client.stored, [])
 
     def test_a_woken_evictor_harms_no_prefix_written_since(self) -> None:
-        """The first tender freezes after taking the manifest away; the prefix is kept anew."""
+        """The first reconciler freezes after taking the manifest away; the prefix is kept anew."""
         self.client.manifests["p"] = "a1"
         self.client.stored = ["a1/0"]
-        frozen = self._tender()
-        self._tend(frozen, 0.0)
+        frozen = self._reconciler()
+        self._reconcile(frozen, 0.0)
         self.configuration = Configuration(holds={"c": HoldRule("c", 1e12)})
         self.client.manifests["p"] = "a2"
         self.client.stored.append("a2/0")
-        self._tend(frozen, 1000.0)
+        self._reconcile(frozen, 1000.0)
         self.assertEqual((self.client.manifests, self.client.stored), ({"p": "a2"}, ["a2/0"]))
 
     def test_parts_without_a_manifest_are_swept_but_not_at_once(self) -> None:
         self.client.stored = ["a1/0"]
-        tender = self._tender()
-        self._tend(tender, 0.0)
-        self._tend(tender, ORPHAN_SECONDS - 1)
+        reconciler = self._reconciler()
+        self._reconcile(reconciler, 0.0)
+        self._reconcile(reconciler, ORPHAN_PART_SECONDS - 1)
         self.assertEqual(self.client.stored, ["a1/0"])
-        self._tend(tender, ORPHAN_SECONDS)
+        self._reconcile(reconciler, ORPHAN_PART_SECONDS)
         self.assertEqual(self.client.stored, [])
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -89,7 +89,7 @@
         caller = self._connect()
         caller.sendall(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertIn(b"200", caller.recv(4096))
-        with mock.patch.object(self.server, "_unblock"):
+        with mock.patch.object(self.server, "_drain_queue"):
             self.server.stop()
             self.assertTrue(self.answers[0].closed.wait(WAIT_SECONDS))
 
