--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -234,7 +234,7 @@
         ]
         board = Board(data_centre="dc")
         for target in targets:
-            board.heard_load(target.name, Load(rng.randrange(8), 0, rng.randrange(9000)), 1, ["v"])
+            board.record_load(target.name, Load(rng.randrange(8), 0, rng.randrange(9000)), 1, ["v"])
         points.append(
             {"targets": count}
             | {
--- a/bench/world.py
+++ b/bench/world.py
@@ -253,7 +253,7 @@
 
     def _hear(self, node: _Node, name: str) -> None:
         load = self._engines[name].lagged(self.now, self._faults.load_lag)
-        node.board.heard_load(name, load, 1, ("v1",))
+        node.board.record_load(name, load, 1, ("v1",))
 
     def _break(self) -> None:
         faults = self._faults
@@ -422,7 +422,7 @@
 
     def _first_token(self, node: _Node, name: str, run: str, ask: Ask) -> None:
         self._hear(node, name)
-        node.board.worked(name)
+        node.board.succeeded(name)
         self._remember(node, name, ask)
         load = self._engines[name].lagged(self.now, self._faults.load_lag)
         self._tell(node, lambda other: self._heard_head(other, name, run, load))
@@ -440,12 +440,12 @@
                 self._at(self.now + self._share, work, other)
 
     def _heard_sent(self, other: _Node, name: str, run: str, tokens: int, ask: Ask) -> None:
-        other.board.heard_sent(name, run, tokens)
+        other.board.record_remote_send(name, run, tokens)
         self._remember(other, name, ask)
 
     def _heard_head(self, other: _Node, name: str, run: str, load: Load) -> None:
-        other.board.heard_load(name, load._replace(received_at=self.now), 1, ("v1",))
-        other.board.forget_sent(name, run)
+        other.board.record_load(name, load._replace(received_at=self.now), 1, ("v1",))
+        other.board.remove_remote_send(name, run)
 
     def _end(self, node: _Node, name: str, run: str, ask: Ask) -> None:
         node.board.ended(name, run)
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -311,10 +311,10 @@
         except ExternalSystemError:
             board.failed(target.name)
             return
-        board.worked(target.name)
+        board.succeeded(target.name)
         # First the life that answers, then its events.
         self._heard_report(target.name, report)
-        board.heard_events(
+        board.record_cache_events(
             target.name,
             report.sequence,
             [name for _, name in report.events],
@@ -364,7 +364,7 @@
 
     def _heard_report(self, target: str, report: LoadReport) -> None:
         board = self._runtime.board
-        board.heard_load(target, report.load(), report.epoch, report.versions)
+        board.record_load(target, report.load(), report.epoch, report.versions)
         self._crashes.record_instance(target, self._crashes.life(target, board.epoch(target)))
         if report.leaving:
             self._cluster.hear_target(TargetWord(target, report.epoch, True))
--- a/packages/node/src/fielddrift_node/filters/admit.py
+++ b/packages/node/src/fielddrift_node/filters/admit.py
@@ -81,5 +81,5 @@
     what = exchange.deployment.model or (exchange.call.service if exchange.call else "")
     version = f" version {exchange.deployment.version}" if exchange.deployment.version else ""
     detail = f"{what}{version}: none of {len(exchange.targets)} targets can take it now"
-    paused = exchange.runtime.board.soonest(exchange.targets)
+    paused = exchange.runtime.board.min_pause_seconds(exchange.targets)
     return Refusal(ErrorKind.NO_TARGET, detail, ran, max(_MIN_RETRY_AFTER_SECONDS, paused))
--- a/packages/node/src/fielddrift_node/filters/call.py
+++ b/packages/node/src/fielddrift_node/filters/call.py
@@ -93,9 +93,9 @@
     finally:
         runtime.board.ended(target.name, exchange.request_id)
     runtime.heard_headers(target.name, reply.headers)
-    runtime.board.worked(target.name)
+    runtime.board.succeeded(target.name)
     if proved_not_started(reply):
-        runtime.board.asked_for_pause(target.name, pause_seconds(reply))
+        runtime.board.record_pause(target.name, pause_seconds(reply))
         raise TryFailed(f"target {target.name}: did not start it", "not-started", sure=True)
     if reply.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         exchange.answered()
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -154,8 +154,8 @@
         raise TryFailed(str(error), reason, sure=error.not_executed) from None
     runtime.heard_headers(name, head.headers)
     if proved_not_started(head):
-        runtime.board.worked(name)
-        runtime.board.asked_for_pause(name, pause_seconds(head))
+        runtime.board.succeeded(name)
+        runtime.board.record_pause(name, pause_seconds(head))
         raise TryFailed(f"target {name}: did not start it", "not-started", sure=True)
     if head.status != 200:
         runtime.board.failed(name)
@@ -192,7 +192,7 @@
         exchange.runtime.board.failed(name)
         detail = f"target {name}: ran version {head.version!r} for {head.customer!r}"
         raise TryFailed(detail, "wrong-head", sure=False)
-    exchange.runtime.board.worked(name)
+    exchange.runtime.board.succeeded(name)
     return head
 
 
--- a/packages/node/src/fielddrift_node/underway.py
+++ b/packages/node/src/fielddrift_node/underway.py
@@ -104,19 +104,21 @@
     run = str(sighting.run)
     match sighting:
         case Sent():
-            board.heard_sent(sighting.target, run, sighting.tokens)
+            board.record_remote_send(sighting.target, run, sighting.tokens)
             _remember(runtime, sighting, "")
             if store is not None:
                 runtime.links.begin_import(store, sighting.run, sighting.size)
         case Head():
-            board.heard_again(sighting.target, sighting.running, sighting.queued, sighting.backlog)
-            board.forget_sent(sighting.target, run)
+            board.record_relayed_load(
+                sighting.target, sighting.running, sighting.queued, sighting.backlog
+            )
+            board.remove_remote_send(sighting.target, run)
             _remember(runtime, sighting, sighting.root)
             if store is not None:
                 seconds = sighting.import_seconds if sighting.import_seconds >= 0 else None
                 runtime.links.end_import(store, sighting.run, seconds)
         case Ended():
-            board.forget_sent(sighting.target, run)
+            board.remove_remote_send(sighting.target, run)
             if store is not None:
                 runtime.links.end_import(store, sighting.run, None)
 
--- a/tests/test_left_behind.py
+++ b/tests/test_left_behind.py
@@ -109,9 +109,9 @@
     def test_the_events_of_a_new_life_are_asked_for_from_the_first_on(self) -> None:
         """They were asked for behind the old life's last: its evictions were never heard of."""
         board = Board(data_centre="a")
-        board.heard_load("e1", Load(), 1, ())
-        board.heard_events("e1", 500, [])
-        board.heard_load("e1", Load(), 2, ())
+        board.record_load("e1", Load(), 1, ())
+        board.record_cache_events("e1", 500, [])
+        board.record_load("e1", Load(), 2, ())
         self.assertEqual(board.event_sequence("e1"), 0)
 
 
