--- a/packages/node/src/fielddrift_node/cluster.py
+++ b/packages/node/src/fielddrift_node/cluster.py
@@ -1,7 +1,7 @@
-"""Take part among the nodes: probe, pass words on, spread the configuration.
+"""Take part in the cluster of nodes: probe members, gossip updates, spread the configuration.
 
-Wraps the pure `Membership` with the calls it asks for.  Also what a node
-answers to its peers.
+Wraps the `Membership` state, which does no I/O, with the calls that it requires, and
+handles the calls of peers.
 """
 
 from __future__ import annotations
@@ -22,30 +22,38 @@
 from . import clock
 from . import peer_pb2 as pb
 from .configuration import ConfigSync
-from .peers import Peers, crashes_from, crashes_to, member_from, member_to, word_from, word_to
-
-__all__ = ["Cluster", "CrashTalk"]
-
-_SPREAD_TO = 3
-_MOST_FOUND = 512
+from .peers import (
+    Peers,
+    crashes_from_message,
+    crashes_to_fields,
+    member_from_message,
+    member_to_message,
+    target_word_from_message,
+    target_word_to_message,
+)
+
+__all__ = ["Cluster", "CrashGossip"]
+
+_SPREAD_PEER_COUNT = 3
+_MAX_CACHED_COUNT = 512
 _ENTRY_KIND = "entry"
 
 
-class CrashTalk(Protocol):
-    """What is known of crashes, as peers tell it each other."""
+class CrashGossip(Protocol):
+    """The crash records that peers exchange by gossip."""
 
-    def merge(self, news: CrashUpdate) -> bool:
-        """Take what a peer tells; return whether any of it is news."""
+    def merge(self, update: CrashUpdate) -> bool:
+        """Merge a peer's update; return whether any of it was new."""
 
     def recent(self) -> CrashUpdate:
-        """Return what a peer may lack."""
+        """Return the recent changes, which a peer may lack."""
 
 
 class Cluster:
-    """One node's part in the fleet of nodes.  Safe for threads.
+    """One node's part in the cluster.  Thread-safe.
 
-    `claim_word` and `request_state` answer peers about this node's own
-    attempts and requests.  `connect` gives the calls to peers once they run.
+    `claim_status` and `request_state` return the state of this node's own attempts and
+    requests, for peers.  `connect` must be called before any method that calls peers.
     """
 
     def __init__(
@@ -55,30 +63,30 @@
         rng: random.Random,
         config: ConfigSync,
         pool: ThreadPoolExecutor,
-        claim_word: Callable[[str, str], AttemptStatus],
+        claim_status: Callable[[str, str], AttemptStatus],
         request_state: Callable[[str, str], str],
-        crashes: CrashTalk,
+        crashes: CrashGossip,
     ) -> None:
         self._membership = Membership(me=me, rng=rng)
         self._rng = rng
         self._config = config
         self._pool = pool
-        self._claim_word = claim_word
+        self._claim_status = claim_status
         self._request_state = request_state
         self._crashes = crashes
         self._lock = threading.Lock()
-        self._catching_up = threading.Lock()
+        self._catch_up_lock = threading.Lock()
         self._peers: Peers | None = None
-        self._turns = itertools.count()
-        self._found: tuple[int, dict[tuple[str, str, int], object]] = (0, {})
+        self._entry_counter = itertools.count()
+        self._cache: tuple[int, dict[tuple[str, str, int], object]] = (0, {})
 
     @property
     def membership(self) -> Membership:
-        """Return the view of the nodes; read it only."""
+        """Return this node's view of the nodes; callers must not change it."""
         return self._membership
 
     def connect(self, peers: Peers) -> None:
-        """Set the calls to peers."""
+        """Set the client for calls to peers."""
         self._peers = peers
 
     @property
@@ -86,96 +94,104 @@
         assert self._peers is not None
         return self._peers
 
-    # --- what others ask ---------------------------------------------------
+    # --- queries -----------------------------------------------------------
+
+    def entry(self, model: str, ttl_seconds: float) -> EntryAnswer:
+        """Return the nodes that a caller of `model` should use, valid for `ttl_seconds` seconds.
 
-    def entry(self, model: str, keep: float) -> EntryAnswer:
-        """Return the entry answer for a caller who came to this node."""
-        turn = next(self._turns)
-        key = ("entry", model, turn % SPREAD_NODE_COUNT)
+        Successive answers are rotated, to spread the callers over the nodes.
+        """
+        rotation = next(self._entry_counter)
+        key = ("entry", model, rotation % SPREAD_NODE_COUNT)
         with self._lock:
-            found = self._found_for(key)
-            if found is None:
+            cached = self._cached_value(key)
+            if cached is None:
                 usable = self._membership.usable()
                 data_centre = self._membership.me.data_centre
-                found = order(usable, data_centre=data_centre, model=model, ttl=keep, rotation=turn)
-                self._found[1][key] = found
-        assert isinstance(found, EntryAnswer)
-        return found
+                cached = order(
+                    usable, data_centre=data_centre, model=model, ttl=ttl_seconds, rotation=rotation
+                )
+                self._cache[1][key] = cached
+        assert isinstance(cached, EntryAnswer)
+        return cached
 
     def audience(self, model: str) -> list[str]:
         """Return the other nodes that choose targets for a model."""
         key = ("audience", model, 0)
         with self._lock:
-            found = self._found_for(key)
-            if found is None:
+            cached = self._cached_value(key)
+            if cached is None:
                 chosen = audience(self._membership.usable(), model=model)
-                found = [m.name for m in chosen if m.name != self._membership.me.name]
-                self._found[1][key] = found
-        assert isinstance(found, list)
-        return found
+                cached = [m.name for m in chosen if m.name != self._membership.me.name]
+                self._cache[1][key] = cached
+        assert isinstance(cached, list)
+        return cached
 
-    def _found_for(self, key: tuple[str, str, int]) -> object | None:
-        """Return what was worked out before, if no member has changed since."""
+    def _cached_value(self, key: tuple[str, str, int]) -> object | None:
+        """Return the cached value for `key`; clear the cache when it is outdated or full."""
         generation = self._membership.generation
-        if self._found[0] != generation or len(self._found[1]) >= _MOST_FOUND:
-            self._found = (generation, {})
-        return self._found[1].get(key)
+        if self._cache[0] != generation or len(self._cache[1]) >= _MAX_CACHED_COUNT:
+            self._cache = (generation, {})
+        return self._cache[1].get(key)
 
     def nodes(self) -> int:
-        """Return how many nodes are usable, at least 1."""
+        """Return the number of usable nodes, at least 1."""
         with self._lock:
             return max(1, len(self._membership.usable()))
 
     def leaving(self, target: str) -> bool:
-        """Return whether anyone said that a target is leaving."""
+        """Return whether a target is reported to be leaving."""
         word = self._membership.target_word(target)
         return word is not None and word.leaving
 
-    def hear_target(self, word: TargetWord) -> None:
-        """Take a word on a target in, and spread it at once if it is news."""
+    def merge_target(self, word: TargetWord) -> None:
+        """Merge a target's state; gossip at once if it is new and the target is leaving."""
         with self._lock:
-            news = self._membership.merge_target(word)
-        if news and word.leaving:
+            changed = self._membership.merge_target(word)
+        if changed and word.leaving:
             self.spread()
 
-    # --- answering peers ---------------------------------------------------
+    # --- handlers for peers ------------------------------------------------
 
     def gossip(self, heard: pb.Gossip) -> pb.Gossip:
-        """Take a peer's words in; return our own."""
-        self._hear(heard)
+        """Apply a peer's state updates; return this node's.
+
+        A sender that is not alive in this node's view gets that view of itself, to refute it.
+        """
+        self._apply_gossip(heard)
         reply = self._gossip()
         with self._lock:
             known = {m.name: m for m in self._membership.members}.get(heard.sender)
         if known is not None and known.status is not Status.ALIVE:
-            reply.members.append(member_to(known))
+            reply.members.append(member_to_message(known))
         return reply
 
     def probe(self, name: str) -> bool:
-        """Probe a member for a peer; return whether it answered."""
+        """Probe a member on behalf of a peer; return whether it answered."""
         return self._ping(name)
 
     def entries(self, first: int, last: int) -> list[str]:
-        """Return configuration entries."""
+        """Return the encoded configuration entries from `first` to `last` that are kept here."""
         return self._config.entries(first, last)
 
     def snapshot(self) -> pb.SnapshotReply:
-        """Return the whole configuration, and all members."""
+        """Return the whole configuration and all members."""
         with self._lock:
-            members = [member_to(m) for m in self._membership.members]
+            members = [member_to_message(m) for m in self._membership.members]
         return pb.SnapshotReply(configuration=self._config.snapshot(), members=members)
 
     def claim(self, claimant: str, attempt: str) -> AttemptStatus:
-        """Return our word on one of our attempts."""
-        return self._claim_word(claimant, attempt)
+        """Return the status of one of this node's attempts."""
+        return self._claim_status(claimant, attempt)
 
     def request(self, customer: str, request_id: str) -> str:
-        """Return the state of one of our requests."""
+        """Return the state of one of this node's requests."""
         return self._request_state(request_id, customer)
 
     # --- probing -----------------------------------------------------------
 
-    def turn(self) -> None:
-        """Probe one peer; suspect it when neither it nor helpers reach it."""
+    def probe_next(self) -> None:
+        """Probe one peer; record a failure when it answers neither directly nor through helpers."""
         now = clock.now()
         with self._lock:
             self._membership.expire(now)
@@ -184,39 +200,42 @@
             return
         with self._lock:
             helpers = self._membership.helpers(member.name)
-        if not any(self._helped(helper, member) for helper in helpers):
+        if not any(self._probe_through(helper, member) for helper in helpers):
             with self._lock:
                 self._membership.record_probe_failure(member.name, clock.now())
 
     def spread(self) -> None:
-        """Tell a few random peers at once, in the background."""
+        """Gossip to a few random peers at once, in the background."""
         with self._lock:
             others = [m for m in self._membership.usable() if m != self._membership.me]
-            chosen = self._rng.sample(others, min(_SPREAD_TO, len(others)))
+            chosen = self._rng.sample(others, min(_SPREAD_PEER_COUNT, len(others)))
         for member in chosen:
             self._pool.submit(self._ping, member.name)
 
     def leave(self) -> None:
-        """Say to the others that this node is leaving."""
+        """Announce to the other nodes that this node is leaving."""
         with self._lock:
             self._membership.leave(clock.now())
         self.spread()
 
     def join(self, addresses: Iterable[str]) -> bool:
-        """Take configuration and members from the first of `addresses` that answers."""
+        """Load configuration and members from the first of `addresses` that answers.
+
+        Returns whether any of them answered.
+        """
         for address in addresses:
             try:
                 reply = self._calls.snapshot(address)
             except ExternalSystemError:
                 continue
             self._config.take_snapshot(reply.configuration)
-            self._take_members(reply.members)
+            self._merge_members(reply.members)
             self._ping(address)
             return True
         return False
 
-    def hear_hosts(self, hosts: Iterable[HostEntry]) -> None:
-        """Take the host list in: leaving entry hosts, and ones not met yet."""
+    def apply_hosts(self, hosts: Iterable[HostEntry]) -> None:
+        """Apply the host list: mark leaving entry hosts, and ping one that is not a member yet."""
         entries = [h for h in hosts if h.kind == _ENTRY_KIND and "peer" in h.labels]
         now = clock.now()
         with self._lock:
@@ -230,17 +249,20 @@
             self._pool.submit(self._ping, self._rng.choice(absent))
 
     def refresh(self) -> bool:
-        """Catch up with the newest configuration that anyone near can tell."""
+        """Fetch the newest configuration known to a few peers or the table.
+
+        Returns whether any peer answered.
+        """
         with self._lock:
             others = [m.name for m in self._membership.present() if m != self._membership.me]
-            asked = self._rng.sample(others, min(_SPREAD_TO, len(others)))
-        answered = [self._ping(name) for name in asked]
+            sampled = self._rng.sample(others, min(_SPREAD_PEER_COUNT, len(others)))
+        answered = [self._ping(name) for name in sampled]
         self.catch_up()
         return any(answered)
 
     def catch_up(self, told_by: str = "") -> None:
-        """Fetch what is missing of the configuration, from who told of it, else the table."""
-        with self._catching_up:
+        """Fetch missing configuration entries, from the peer `told_by` or else from the table."""
+        with self._catch_up_lock:
             if told_by and self._config.behind:
                 self._fetch_from(told_by)
             if self._config.behind or not told_by:
@@ -258,7 +280,7 @@
         except (ExternalSystemError, ValueError):
             return
 
-    def _helped(self, helper: Member, member: Member) -> bool:
+    def _probe_through(self, helper: Member, member: Member) -> bool:
         try:
             return self._calls.probe(helper.name, member.name)
         except ExternalSystemError:
@@ -267,7 +289,7 @@
     def _ping(self, name: str) -> bool:
         try:
             reply = self._calls.ping(name, self._gossip())
-            self._hear(reply)
+            self._apply_gossip(reply)
         except (ExternalSystemError, ValueError):
             return False
         return True
@@ -280,23 +302,23 @@
             sender=me.name,
             revision=self._config.revision,
             heard=self._config.heard,
-            members=[member_to(m) for m in members],
-            words=[word_to(w) for w in words],
-            **crashes_to(self._crashes.recent()),
+            members=[member_to_message(m) for m in members],
+            words=[target_word_to_message(w) for w in words],
+            **crashes_to_fields(self._crashes.recent()),
         )
 
-    def _hear(self, message: pb.Gossip) -> None:
-        words = [word_from(w) for w in message.words]
-        self._take_members(message.members)
+    def _apply_gossip(self, message: pb.Gossip) -> None:
+        words = [target_word_from_message(w) for w in message.words]
+        self._merge_members(message.members)
         with self._lock:
-            news = self._membership.merge((), words, clock.now())
-        news |= self._crashes.merge(crashes_from(message))
-        if news:
+            changed = self._membership.merge((), words, clock.now())
+        changed |= self._crashes.merge(crashes_from_message(message))
+        if changed:
             self.spread()
         if self._config.hear(message.heard):
             self._pool.submit(self.catch_up, message.sender)
 
-    def _take_members(self, messages: Iterable[pb.Member]) -> None:
-        members = [member_from(m) for m in messages]
+    def _merge_members(self, messages: Iterable[pb.Member]) -> None:
+        members = [member_from_message(m) for m in messages]
         with self._lock:
             self._membership.merge(members, (), clock.now())
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -1,4 +1,4 @@
-"""Put a node together, keep its rounds going, and stop it without cutting anyone."""
+"""Assemble a node, run its periodic tasks, and stop it without cutting off requests."""
 
 from __future__ import annotations
 
@@ -47,24 +47,24 @@
 
 __all__ = ["Daemon"]
 
-TICK_SECONDS = 0.2
-GOSSIP_SECONDS = 1.0
-LOAD_SECONDS = 0.5
-DUTY_SECONDS = 1.0
-LEASE_TURN_SECONDS = 2.0
-HOSTS_SECONDS = 1.0
-_POLLS_A_ROUND = 5
-# The host list is long where there are many nodes, so they share its reading
-# out and pass on what it says.
-_HOST_POLLS_A_SECOND = 4.0
-_POOL_THREADS = 32
+TICK_INTERVAL_SECONDS = 0.2
+GOSSIP_INTERVAL_SECONDS = 1.0
+LOAD_INTERVAL_SECONDS = 0.5
+DUTY_INTERVAL_SECONDS = 1.0
+LEASE_INTERVAL_SECONDS = 2.0
+MIN_HOSTS_INTERVAL_SECONDS = 1.0
+_MAX_LOAD_POLLS_PER_ROUND = 5
+# The host list grows with the number of nodes, so all nodes together read it at this rate and
+# pass the results on by gossip.
+_HOST_POLLS_PER_SECOND = 4.0
+_POOL_THREAD_COUNT = 32
 _IDLE_MODEL_SECONDS = 60.0
-_STOP_LOOK_SECONDS = 0.1
+_STOP_POLL_SECONDS = 0.1
 _REQUEST_ID = re.compile(r"(\d+(?:\.\d+){3}:\d+)-([0-9a-f]{8})-\d+")
 
 
 class Daemon:
-    """One node: everything it runs, from start to stop."""
+    """One node: its components and threads, from start to stop."""
 
     def __init__(self, *, settings: Settings) -> None:
         self._settings = settings
@@ -73,7 +73,7 @@
         self._numbers = itertools.count(1)
         rng = random.Random(secrets.randbits(64))
         self._metrics = Metrics(address=settings["statsd"])
-        self._pool = ThreadPoolExecutor(_POOL_THREADS, thread_name_prefix="pool")
+        self._pool = ThreadPoolExecutor(_POOL_THREAD_COUNT, thread_name_prefix="pool")
         self._exporter = Exporter()
         self._http = HttpClient()
         self._build_platform()
@@ -100,7 +100,7 @@
             table=self._table,
             objects=self._objects,
             metrics=self._metrics,
-            on_change=self._changed,
+            on_change=self._configuration_changed,
         )
         self._crashes = CrashDesk(
             table=self._table,
@@ -113,7 +113,7 @@
             rng=rng,
             config=self._config,
             pool=self._pool,
-            claim_word=lambda claimant, attempt: self._claims.word(claimant, attempt),
+            claim_status=lambda claimant, attempt: self._claims.word(claimant, attempt),
             request_state=self._requests.state,
             crashes=self._crashes,
         )
@@ -156,11 +156,11 @@
             tickets=Tickets(key=self._settings["keys"]["peer"]),
             places=Places(limit=self._settings["limits"]["requests"]),
             leaving=self._cluster.leaving,
-            heard_headers=self._heard_headers,
+            heard_headers=self._apply_headers,
         )
 
     def _build_sightings(self) -> Sightings:
-        # Last, for what arrives is taken into the runtime at once.
+        # Built after the runtime, because received sightings are applied to it immediately.
         return Sightings(
             address=self._settings["node"]["peer"],
             key=self._settings["keys"]["peer"],
@@ -187,34 +187,34 @@
         operators = Operators(
             runtime=self._runtime, nodes=nodes, keys=self._settings["keys"]["operators"]
         )
-        keep = self._settings["limits"]["entry_seconds"]
+        ttl_seconds = self._settings["limits"]["entry_seconds"]
         return CallersApp(
             runtime=self._runtime,
             operators=operators,
-            entry=lambda model: self._cluster.entry(model, keep),
+            entry=lambda model: self._cluster.entry(model, ttl_seconds),
             next_id=self._next_id,
             ask_state=self._ask_state,
         )
 
-    # --- running -----------------------------------------------------------
+    # --- lifecycle ---------------------------------------------------------
 
     def start(self) -> None:
-        """Catch up with the configuration, then serve."""
+        """Load the current configuration, start the periodic tasks, then serve callers."""
         self._catch_up_at_start()
-        rounds: list[tuple[str, Callable[[], None], Callable[[], float]]] = [
-            ("tick", self._tick, lambda: TICK_SECONDS),
-            ("gossip", self._cluster.turn, lambda: GOSSIP_SECONDS),
+        tasks: list[tuple[str, Callable[[], None], Callable[[], float]]] = [
+            ("tick", self._tick, lambda: TICK_INTERVAL_SECONDS),
+            ("gossip", self._cluster.probe_next, lambda: GOSSIP_INTERVAL_SECONDS),
             ("config", self._config.poll, lambda: poll_seconds(self._cluster.nodes())),
-            ("hosts", self._poll_hosts, self._hosts_seconds),
-            ("loads", self._poll_loads, lambda: LOAD_SECONDS),
-            ("leases", self._turn_leases, lambda: LEASE_TURN_SECONDS),
+            ("hosts", self._poll_hosts, self._hosts_interval),
+            ("loads", self._poll_loads, lambda: LOAD_INTERVAL_SECONDS),
+            ("leases", self._update_leases, lambda: LEASE_INTERVAL_SECONDS),
             ("metrics", self._metrics.flush, lambda: FLUSH_SECONDS),
-            ("duties", self._turn_duties, lambda: DUTY_SECONDS),
+            ("duties", self._run_duties, lambda: DUTY_INTERVAL_SECONDS),
             ("crashes", self._crashes.turn, lambda: CRASH_TURN_SECONDS),
         ]
-        for name, work, seconds in rounds:
+        for name, work, seconds in tasks:
             thread = threading.Thread(
-                target=self._round, args=(name, work, seconds), name=name, daemon=True
+                target=self._run_periodically, args=(name, work, seconds), name=name, daemon=True
             )
             thread.start()
         host, _, port = self._settings["node"]["http"].rpartition(":")
@@ -229,18 +229,22 @@
         get().info("serving", http=self._settings["node"]["http"], revision=self._config.revision)
 
     def stop(self) -> None:
-        """Leave: off the entry list, wait out old entry answers, let streams end."""
+        """Drain this node and stop it.
+
+        Leaves the entry list, waits until the entry answers given earlier have expired, then
+        waits up to `stop_seconds` for the requests in flight.
+        """
         limits = self._settings["limits"]
         get().info("leaving")
         self._runtime.watch.leave()
         self._cluster.leave()
         self._stopping.set()
-        self._give_back_leases()
+        self._release_leases()
         time.sleep(limits["entry_seconds"])
         self._runtime.watch.refuse()
         until = clock.now() + limits["stop_seconds"]
         while self._requests.running() and clock.now() < until:
-            time.sleep(_STOP_LOOK_SECONDS)
+            time.sleep(_STOP_POLL_SECONDS)
         self._exporter.close()
         self._pool.shutdown(wait=True, cancel_futures=True)
         self._server.stop()
@@ -251,7 +255,9 @@
         self._http.close()
         get().info("stopped", cut=self._requests.running())
 
-    def _round(self, name: str, work: Callable[[], None], seconds: Callable[[], float]) -> None:
+    def _run_periodically(
+        self, name: str, work: Callable[[], None], seconds: Callable[[], float]
+    ) -> None:
         while True:
             try:
                 work()
@@ -262,22 +268,25 @@
             time.sleep(seconds())
 
     def _catch_up_at_start(self) -> None:
-        """Take the configuration from the table, or in an outage from a peer."""
+        """Join the other nodes and load the configuration, from a peer and from the table.
+
+        While the platform is unreachable, the snapshot of a peer suffices.
+        """
         addresses = list(self._settings["peers"])
         try:
             hosts = self._hosts.hosts()
             addresses += [h.labels["peer"] for h in hosts if "peer" in h.labels]
         except ExternalSystemError as error:
-            get().warning("host list out of reach", error=str(error))
-        mine = self._settings["node"]["peer"]
-        self._cluster.join(a for a in dict.fromkeys(addresses) if a != mine)
+            get().warning("host list unreachable at start", error=str(error))
+        own_address = self._settings["node"]["peer"]
+        self._cluster.join(a for a in dict.fromkeys(addresses) if a != own_address)
         try:
             self._config.poll()
             self._crashes.restore()
         except ExternalSystemError as error:
-            get().warning("table out of reach", error=str(error))
+            get().warning("table unreachable at start", error=str(error))
 
-    # --- rounds ------------------------------------------------------------
+    # --- periodic tasks ----------------------------------------------------
 
     def _tick(self) -> None:
         self._metrics.gauge("requests.open", self._runtime.places.taken)
@@ -285,21 +294,23 @@
             self._metrics.add("pauses")
             get().warning("this process was paused")
 
-    def _hosts_seconds(self) -> float:
-        return max(HOSTS_SECONDS, self._cluster.nodes() / _HOST_POLLS_A_SECOND)
+    def _hosts_interval(self) -> float:
+        return max(MIN_HOSTS_INTERVAL_SECONDS, self._cluster.nodes() / _HOST_POLLS_PER_SECOND)
 
     def _poll_hosts(self) -> None:
         hosts = self._hosts.hosts()
-        self._cluster.hear_hosts(hosts)
+        self._cluster.apply_hosts(hosts)
         by_address = {t.address: t.name for t in self._config.current.targets.values()}
         for host in hosts:
             if host.address in by_address:
                 word = TargetWord(by_address[host.address], host.epoch, host.leaving)
-                self._cluster.hear_target(word)
+                self._cluster.merge_target(word)
 
     def _poll_loads(self) -> None:
         board = self._runtime.board
-        due = board.stale(self._config.current, idle=_IDLE_MODEL_SECONDS)[:_POLLS_A_ROUND]
+        due = board.stale(self._config.current, idle=_IDLE_MODEL_SECONDS)[
+            :_MAX_LOAD_POLLS_PER_ROUND
+        ]
         for target in due:
             self._pool.submit(self._poll_load, target)
 
@@ -312,8 +323,8 @@
             board.failed(target.name)
             return
         board.succeeded(target.name)
-        # First the life that answers, then its events.
-        self._heard_report(target.name, report)
+        # The process instance is recorded before its events, which belong to its epoch.
+        self._apply_report(target.name, report)
         board.record_cache_events(
             target.name,
             report.sequence,
@@ -322,52 +333,52 @@
             epoch=report.epoch,
         )
 
-    def _turn_leases(self) -> None:
+    def _update_leases(self) -> None:
         if self._stopping.is_set():
             return
         names = [m.name for m in self._cluster.membership.usable()]
-        me = self._settings["node"]["peer"]
+        own_address = self._settings["node"]["peer"]
         held = set(self._leases.held())
-        mine = [
+        wanted_duties = [
             duty
             for duty in duty_names(self._config.current)
-            if duty in held or me in candidates(duty, names)
+            if duty in held or own_address in candidates(duty, names)
         ]
-        self._leases.turn(mine)
+        self._leases.turn(wanted_duties)
         self._metrics.gauge("duties.held", len(self._leases.held()))
 
-    def _turn_duties(self) -> None:
+    def _run_duties(self) -> None:
         if not self._stopping.is_set():
             self._duties.turn(self._config.current)
 
-    def _give_back_leases(self) -> None:
+    def _release_leases(self) -> None:
         try:
             self._leases.give_back()
         except ExternalSystemError as error:
-            get().info("leases not given back", error=str(error))
+            get().info("could not release leases", error=str(error))
 
-    # --- what is heard -----------------------------------------------------
+    # --- reported state ----------------------------------------------------
 
-    def _changed(self, revision: int) -> None:
+    def _configuration_changed(self, revision: int) -> None:
         self._cluster.spread()
 
-    def _heard_headers(self, target: str, headers: Mapping[str, str]) -> None:
+    def _apply_headers(self, target: str, headers: Mapping[str, str]) -> None:
         leaving = headers.get("x-leaving", "")
         if leaving.isdigit():
-            self._cluster.hear_target(TargetWord(target, int(leaving), True))
+            self._cluster.merge_target(TargetWord(target, int(leaving), True))
         if "x-load" in headers:
             try:
                 report = msgspec.json.decode(headers["x-load"], type=LoadReport)
             except msgspec.DecodeError:
                 return
-            self._heard_report(target, report)
+            self._apply_report(target, report)
 
-    def _heard_report(self, target: str, report: LoadReport) -> None:
+    def _apply_report(self, target: str, report: LoadReport) -> None:
         board = self._runtime.board
         board.record_load(target, report.load(), report.epoch, report.versions)
         self._crashes.record_instance(target, self._crashes.life(target, board.epoch(target)))
         if report.leaving:
-            self._cluster.hear_target(TargetWord(target, report.epoch, True))
+            self._cluster.merge_target(TargetWord(target, report.epoch, True))
 
     # --- request ids -------------------------------------------------------
 
@@ -375,7 +386,10 @@
         return f"{self._settings['node']['peer']}-{self._boot}-{next(self._numbers)}"
 
     def _ask_state(self, wanted: str, customer: str) -> str | None:
-        """Return the state of a request id, None when it is not one."""
+        """Return the state of a request, or None when `wanted` is not a request id.
+
+        The state is "unknown" when the node that issued the id has restarted or cannot be reached.
+        """
         match = _REQUEST_ID.fullmatch(wanted)
         if match is None:
             return None
--- a/packages/node/src/fielddrift_node/peers.py
+++ b/packages/node/src/fielddrift_node/peers.py
@@ -1,7 +1,7 @@
-"""Speak with the other nodes over grpclib.
+"""Call the other nodes, and serve their calls, over gRPC (grpclib).
 
-One thread runs grpclib's event loop; the rest of the node uses futures.  The
-peers' key travels with every call; without it nothing is answered.
+One thread runs grpclib's event loop; the other threads wait for futures.  Every call
+carries the shared peer key; calls without it are rejected as unauthenticated.
 """
 
 from __future__ import annotations
@@ -29,50 +29,50 @@
 from .peer_grpc import PeerBase, PeerStub
 
 __all__ = [
-    "PeerAnswers",
+    "PeerHandler",
     "Peers",
-    "crashes_from",
-    "crashes_to",
-    "member_from",
-    "member_to",
-    "word_from",
-    "word_to",
+    "crashes_from_message",
+    "crashes_to_fields",
+    "member_from_message",
+    "member_to_message",
+    "target_word_from_message",
+    "target_word_to_message",
 ]
 
 _KEY_HEADER = "fielddrift-key"
-_CALL_SECONDS = 0.5
-_HEADER_BYTES = 60
-_MOST_MEMBERS = 64
+_CALL_TIMEOUT_SECONDS = 0.5
+_HEADER_BYTES = 60  # counted for the headers of each message in the traffic metrics
+_MAX_MEMBER_COUNT = 64
 _T = TypeVar("_T")
 
 
-class PeerAnswers(Protocol):
-    """What a node answers to its peers."""
+class PeerHandler(Protocol):
+    """Handlers for the calls of peers.  A ValueError rejects the call's arguments."""
 
     def gossip(self, heard: pb.Gossip) -> pb.Gossip:
-        """Take a peer's words in; return our own."""
+        """Apply a peer's state updates; return this node's."""
 
     def probe(self, name: str) -> bool:
-        """Probe a member for a peer; return whether it answered."""
+        """Probe a member on behalf of a peer; return whether it answered."""
 
     def entries(self, first: int, last: int) -> list[str]:
-        """Return configuration entries."""
+        """Return the encoded configuration entries from `first` to `last` that are kept here."""
 
     def snapshot(self) -> pb.SnapshotReply:
-        """Return the whole configuration, and all members."""
+        """Return the whole configuration and all members."""
 
     def claim(self, claimant: str, attempt: str) -> AttemptStatus:
-        """Return our word on one of our attempts."""
+        """Return the status of one of this node's attempts."""
 
     def request(self, customer: str, request_id: str) -> str:
-        """Return the state of one of our requests."""
+        """Return the state of one of this node's requests."""
 
 
-# --- converting ------------------------------------------------------------
+# --- conversion ------------------------------------------------------------
 
 
-def member_to(member: Member) -> pb.Member:
-    """Return `member` as a message."""
+def member_to_message(member: Member) -> pb.Member:
+    """Return `member` as a protobuf message."""
     return pb.Member(
         name=member.name,
         http=member.http,
@@ -82,7 +82,7 @@
     )
 
 
-def member_from(message: pb.Member) -> Member:
+def member_from_message(message: pb.Member) -> Member:
     """Return the member in `message`; raise ValueError when it is malformed."""
     if not message.name or not message.http:
         raise ValueError(f"member: {message.name!r}, expected a name and an address")
@@ -95,15 +95,15 @@
     )
 
 
-def word_to(word: TargetWord) -> pb.TargetWord:
-    """Return `word` as a message."""
+def target_word_to_message(word: TargetWord) -> pb.TargetWord:
+    """Return `word` as a protobuf message."""
     return pb.TargetWord(target=word.target, epoch=word.epoch, leaving=word.leaving)
 
 
-def word_from(message: pb.TargetWord) -> TargetWord:
-    """Return the word in `message`; raise ValueError when it is malformed."""
+def target_word_from_message(message: pb.TargetWord) -> TargetWord:
+    """Return the target's state in `message`; raise ValueError when it is malformed."""
     if not message.target:
-        raise ValueError("target word: empty target, expected a name")
+        raise ValueError("target state: empty target, expected a name")
     return TargetWord(message.target, message.epoch, message.leaving)
 
 
@@ -111,27 +111,27 @@
 
 
 class CrashFields(TypedDict):
-    """What a message says of crashes."""
+    """The fields of a gossip message that report crashes."""
 
     crashes: list[pb.Crash]
     cleared: list[pb.Since]
     living: list[pb.Since]
 
 
-def crashes_to(news: CrashUpdate) -> CrashFields:
-    """Return the message's fields for news of crashes."""
+def crashes_to_fields(update: CrashUpdate) -> CrashFields:
+    """Return the fields of a gossip message for an update on crashes."""
     return CrashFields(
         crashes=[
             pb.Crash(fingerprint=c.fingerprint, target=c.target, ago=c.at, ran=c.ran)
-            for c in news.crashes
+            for c in update.crashes
         ],
-        cleared=[pb.Since(name=name, ago=ago) for name, ago in news.cleared],
-        living=[pb.Since(name=name, ago=ago) for name, ago in news.living],
+        cleared=[pb.Since(name=name, ago=ago) for name, ago in update.cleared],
+        living=[pb.Since(name=name, ago=ago) for name, ago in update.living],
     )
 
 
-def crashes_from(message: pb.Gossip) -> CrashUpdate:
-    """Return the news of crashes in a message."""
+def crashes_from_message(message: pb.Gossip) -> CrashUpdate:
+    """Return the update on crashes in a gossip message."""
     return CrashUpdate(
         crashes=tuple(Crash(c.fingerprint, c.target, c.ago, c.ran) for c in message.crashes),
         cleared=tuple((each.name, each.ago) for each in message.cleared),
@@ -140,16 +140,16 @@
 
 
 class _PeerServer(PeerBase):
-    """Answer peers; blocking answers run in the loop's default executor."""
+    """Serve peers; blocking handlers run in the loop's default executor."""
 
-    def __init__(self, *, answers: PeerAnswers, key: str, metrics: Metrics) -> None:
+    def __init__(self, *, answers: PeerHandler, key: str, metrics: Metrics) -> None:
         self._answers = answers
         self._key = key
         self._metrics = metrics
 
-    async def _take(self, stream: Any) -> Any:
-        given = stream.metadata.get(_KEY_HEADER, "")
-        if not hmac.compare_digest(str(given), self._key):
+    async def _receive(self, stream: Any) -> Any:
+        presented_key = stream.metadata.get(_KEY_HEADER, "")
+        if not hmac.compare_digest(str(presented_key), self._key):
             raise GRPCError(GrpcStatus.UNAUTHENTICATED, "peer key: missing or wrong")
         message = await stream.recv_message()
         if message is None:
@@ -157,47 +157,47 @@
         self._metrics.add("peers.received", message.ByteSize() + _HEADER_BYTES)
         return message
 
-    async def _give(self, stream: Any, make: Callable[[], Any]) -> None:
+    async def _reply(self, stream: Any, build_reply: Callable[[], Any]) -> None:
         loop = asyncio.get_running_loop()
         try:
-            reply = await loop.run_in_executor(None, make)
+            reply = await loop.run_in_executor(None, build_reply)
         except ValueError as error:
             raise GRPCError(GrpcStatus.INVALID_ARGUMENT, str(error)) from None
         self._metrics.add("peers.sent", reply.ByteSize() + _HEADER_BYTES)
         await stream.send_message(reply)
 
     async def Ping(self, stream: Any) -> None:  # noqa: N802
-        message = await self._take(stream)
-        if len(message.members) > _MOST_MEMBERS:
-            detail = f"members: {len(message.members)}, expected at most {_MOST_MEMBERS}"
+        message = await self._receive(stream)
+        if len(message.members) > _MAX_MEMBER_COUNT:
+            detail = f"members: {len(message.members)}, expected at most {_MAX_MEMBER_COUNT}"
             raise GRPCError(GrpcStatus.INVALID_ARGUMENT, detail)
-        await self._give(stream, lambda: self._answers.gossip(message))
+        await self._reply(stream, lambda: self._answers.gossip(message))
 
     async def Probe(self, stream: Any) -> None:  # noqa: N802
-        message = await self._take(stream)
-        await self._give(stream, lambda: pb.ProbeReply(answered=self._answers.probe(message.name)))
+        message = await self._receive(stream)
+        await self._reply(stream, lambda: pb.ProbeReply(answered=self._answers.probe(message.name)))
 
     async def Entries(self, stream: Any) -> None:  # noqa: N802
-        message = await self._take(stream)
-        await self._give(
+        message = await self._receive(stream)
+        await self._reply(
             stream,
             lambda: pb.EntriesReply(entries=self._answers.entries(message.first, message.last)),
         )
 
     async def Snapshot(self, stream: Any) -> None:  # noqa: N802
-        await self._take(stream)
-        await self._give(stream, self._answers.snapshot)
+        await self._receive(stream)
+        await self._reply(stream, self._answers.snapshot)
 
     async def Claim(self, stream: Any) -> None:  # noqa: N802
-        message = await self._take(stream)
-        await self._give(
+        message = await self._receive(stream)
+        await self._reply(
             stream,
             lambda: pb.ClaimReply(word=self._answers.claim(message.claimant, message.attempt)),
         )
 
     async def Request(self, stream: Any) -> None:  # noqa: N802
-        message = await self._take(stream)
-        await self._give(
+        message = await self._receive(stream)
+        await self._reply(
             stream,
             lambda: pb.RequestReply(
                 state=self._answers.request(message.customer, message.request_id)
@@ -206,9 +206,12 @@
 
 
 class Peers:
-    """Call peers and serve them; calls block and raise `ExternalSystemError`."""
+    """Call peers and serve their calls.
 
-    def __init__(self, *, address: str, key: str, answers: PeerAnswers, metrics: Metrics) -> None:
+    Calls block, and raise `ExternalSystemError` when they fail or time out.
+    """
+
+    def __init__(self, *, address: str, key: str, answers: PeerHandler, metrics: Metrics) -> None:
         self._address = address
         self._key = key
         self._metrics = metrics
@@ -228,33 +231,33 @@
     # --- calls -------------------------------------------------------------
 
     def ping(self, peer: str, gossip: pb.Gossip) -> pb.Gossip:
-        """Probe a peer, telling our words; return its own."""
+        """Probe a peer with this node's state updates; return the peer's."""
         return self._call(peer, lambda stub: stub.Ping, gossip)
 
     def revision(self, peer: str) -> int | None:
-        """Return the configuration revision in force at a peer; None when it gives none."""
+        """Return the configuration revision in force at a peer; None when it does not answer."""
         try:
             return int(self.ping(peer, pb.Gossip()).revision)
         except ExternalSystemError:
             return None
 
     def probe(self, helper: str, name: str) -> bool:
-        """Have `helper` probe the member `name`."""
+        """Ask `helper` to probe the member `name`; return whether that member answered."""
         request = pb.ProbeRequest(name=name)
-        reply = self._call(helper, lambda stub: stub.Probe, request, 2 * _CALL_SECONDS)
+        reply = self._call(helper, lambda stub: stub.Probe, request, 2 * _CALL_TIMEOUT_SECONDS)
         return bool(reply.answered)
 
     def entries(self, peer: str, first: int, last: int) -> list[str]:
-        """Return configuration entries that `peer` has."""
+        """Return the encoded configuration entries from `first` to `last` that `peer` keeps."""
         request = pb.EntriesRequest(first=first, last=last)
         return list(self._call(peer, lambda stub: stub.Entries, request, 2.0).entries)
 
     def snapshot(self, peer: str) -> pb.SnapshotReply:
-        """Return a peer's whole configuration and members."""
+        """Return the whole configuration and all members known to a peer."""
         return self._call(peer, lambda stub: stub.Snapshot, pb.SnapshotRequest(), 5.0)
 
     def claim(self, row: ClaimRow) -> AttemptStatus | None:
-        """Ask a claimant for its word on its claim; None when it gives none."""
+        """Return the status of a claim's attempt at its claimant; None when it does not answer."""
         request = pb.ClaimRequest(claimant=row.claimant, attempt=row.attempt)
         try:
             return AttemptStatus(self._call(row.address, lambda stub: stub.Claim, request).word)
@@ -262,12 +265,16 @@
             return None
 
     def request(self, peer: str, customer: str, request_id: str) -> str:
-        """Ask a peer for the state of one of its requests."""
+        """Return the state of a request that `peer` issued the id of."""
         request = pb.RequestRequest(customer=customer, request_id=request_id)
         return str(self._call(peer, lambda stub: stub.Request, request).state)
 
     def _call(
-        self, peer: str, method: Callable[[Any], Any], message: Any, seconds: float = _CALL_SECONDS
+        self,
+        peer: str,
+        method: Callable[[Any], Any],
+        message: Any,
+        seconds: float = _CALL_TIMEOUT_SECONDS,
     ) -> Any:
         self._metrics.add("peers.sent", message.ByteSize() + _HEADER_BYTES)
         future = self._run(self._send(peer, method, message, seconds))
@@ -279,7 +286,7 @@
         self._metrics.add("peers.received", reply.ByteSize() + _HEADER_BYTES)
         return reply
 
-    # --- in the loop -------------------------------------------------------
+    # --- on the event loop -------------------------------------------------
 
     def _run(self, coroutine: Coroutine[Any, Any, _T]) -> Future[_T]:
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
