--- a/packages/node/src/fielddrift_node/claims.py
+++ b/packages/node/src/fielddrift_node/claims.py
@@ -125,7 +125,7 @@
         abandoned.
         """
         if not self._breaker.allows(clock.now()):
-            return table_unavailable("the table failed recently")
+            return table_unavailable("the table failed a moment ago")
         row = ClaimRow(customer, key, self._claimant, self._address, uuid.uuid4().hex, digest)
         outcome = self._drive(claim_steps(row, self._registry))
         if outcome.refusal is not None:
@@ -167,10 +167,10 @@
 
         One of "not-run", "running" and "unknown".
         """
-        status = self._attempt_status(row)
-        if status is AttemptStatus.NEVER:
+        word = self._attempt_status(row)
+        if word is AttemptStatus.NEVER:
             return "not-run"
-        return "running" if status is AttemptStatus.RUNNING else "unknown"
+        return "running" if word is AttemptStatus.RUNNING else "unknown"
 
     def word(self, claimant: str, attempt: str) -> AttemptStatus:
         """Return the status of one of this node's attempts, for a peer that queries it."""
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -15,7 +15,7 @@
 from ..exchange import Answer, Exchange
 from ..http_client import Stream
 from ..log import get
-from ..relay import Broken, Relay, whole_answer
+from ..relay import Relay, RunInterruptedError, buffered_answer
 from ..settle import TryFailed, begin, settle_refused
 from ..started import Started
 from ..targets import EngineHead, RunOrder, pause_seconds, proved_not_started, read_head
@@ -52,8 +52,8 @@
         exchange.answer = Answer(200, "text/event-stream", relay, relay.headers)
         return Ok(exchange)
     try:
-        exchange.answer = whole_answer(exchange, relay)
-    except Broken as broken:
+        exchange.answer = buffered_answer(exchange, relay)
+    except RunInterruptedError as broken:
         return Err(broken.refusal)
     return Ok(exchange)
 
--- a/packages/node/src/fielddrift_node/relay.py
+++ b/packages/node/src/fielddrift_node/relay.py
@@ -1,8 +1,8 @@
-"""Relay a run's events to its caller, whole or visibly cut.
+"""Relay a run's events to its caller, either complete or visibly truncated.
 
-What arrives is passed through as it is while its numbers are in order.  A run
-that breaks off is resumed at the next event on another target; when that
-cannot be, the stream ends with an error event, never with the end mark.
+Events are forwarded unchanged while their numbers are in order.  An interrupted
+run is resumed at the next event on another target; if that is impossible, the
+stream ends with an error event, never with the end mark.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 from .settle import settle_refused
 from .started import Started
 
-__all__ = ["Broken", "Relay", "whole_answer"]
+__all__ = ["Relay", "RunInterruptedError", "buffered_answer"]
 
 STALL_SECONDS = 3.0
-"""A stream on which nothing comes for so long is taken for broken."""
+"""A stream that delivers nothing for this long is treated as broken."""
 
 RESUME_SECONDS = 10.0
-"""How long a broken run may take to go on elsewhere."""
+"""How long resuming an interrupted run on another target may take."""
 
-_MOST_RESUMES = 3
-_TEXT = re.compile(rb'^data: (\{"choices".*\})$', re.MULTILINE)
+_MAX_RESUME_COUNT = 3
+_TEXT_EVENT = re.compile(rb'^data: (\{"choices".*\})$', re.MULTILINE)
 
 
 Resume = Callable[[Exchange, int], Started | None]
 
 
-class Broken(Exception):
-    """A run that could not be brought to its end."""
+class RunInterruptedError(Exception):
+    """An interrupted run that could not be completed; `refusal` gives the reason."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -49,7 +49,7 @@
 
 
 class Relay:
-    """Iterate over the bytes for the caller of one run."""
+    """Iterate over the bytes of one run's response to its caller."""
 
     def __init__(self, *, exchange: Exchange, started: Started, resume: Resume) -> None:
         self._exchange = exchange
@@ -60,11 +60,11 @@
         self._resumes = 0
         self._ended = False
         self._ttft = clock.now() - exchange.began_at
-        self._note_start(self._ttft)
+        self._record_start(self._ttft)
 
     @property
     def headers(self) -> dict[str, str]:
-        """Return what the caller is told of the run at its head."""
+        """Return the response headers that describe the run; the TTFT is in seconds."""
         return {
             "Fielddrift-Target": self._started.choice.target.name,
             "Fielddrift-Source": self._started.choice.source.value,
@@ -73,32 +73,32 @@
         }
 
     def __iter__(self) -> Iterator[bytes]:
-        """Yield events; a broken run ends in an error event."""
+        """Yield the events; an incomplete run ends with an error event."""
         try:
             yield from self.events()
-        except Broken as broken:
+        except RunInterruptedError as broken:
             self._exchange.runtime.metrics.refused(broken.refusal)
             problem = broken.refusal.problem(request_id=self._exchange.request_id)
             yield b"event: error\ndata: " + json.dumps(problem).encode() + b"\n\n"
 
     def events(self) -> Iterator[bytes]:
-        """Yield events in order, each once; raise `Broken` when the run breaks off."""
+        """Yield events in order, each once; raise `RunInterruptedError` if incomplete."""
         try:
             while not self._sequencer.whole:
-                yield from self._pass_on()
+                yield from self._forward()
                 if not self._sequencer.whole:
-                    self._take_up_again()
+                    self._resume_elsewhere()
         finally:
             self.close()
 
     def close(self) -> None:
-        """End the run, also when its caller went away before the first event."""
+        """End the run; also needed when the caller disconnects before the first event."""
         if not self._ended:
             self._ended = True
-            self._end(self._sequencer.whole)
+            self._finish(self._sequencer.whole)
 
-    def _pass_on(self) -> Iterator[bytes]:
-        """Yield what the present stream gives until it ends or breaks."""
+    def _forward(self) -> Iterator[bytes]:
+        """Yield the events of the current stream until it ends or fails."""
         self._started.stream.stall_seconds = STALL_SECONDS
         try:
             for data in self._started.stream:
@@ -109,7 +109,7 @@
                     return
         except (ExternalSystemError, StreamError) as error:
             self._fault = str(error)
-            # The detail of wrong events names their text, which stays out of the log.
+            # The error for wrong events quotes their text, which must not be logged.
             self._reason = "cut" if isinstance(error, ExternalSystemError) else "wrong-events"
             if isinstance(error, ExternalSystemError):
                 self._exchange.broke_off(self._started.choice.target, error)
@@ -117,35 +117,35 @@
             self._fault = "the stream ended without its end mark"
             self._reason = "no-end-mark"
 
-    def _take_up_again(self) -> None:
+    def _resume_elsewhere(self) -> None:
         name = self._started.choice.target.name
         exchange = self._exchange
         self._stop_run()
-        self._note_broken()
+        self._record_interruption()
         exchange.runtime.board.failed(name)
         exchange.failed.add(name)
         self._resumes += 1
         self._reordered |= self._sequencer.reordered
         started = None
-        if self._resumes <= _MOST_RESUMES:
-            # The deadline was for the first token, which has come.
+        if self._resumes <= _MAX_RESUME_COUNT:
+            # The deadline applied to the first token, which has already arrived.
             exchange.deadline = max(exchange.deadline, clock.now() + RESUME_SECONDS)
             started = self._resume(exchange, self._sequencer.following)
         if started is None:
-            get().warning("answer cut", reason=self._reason, **self._progress())
-            raise Broken(self._cut())
+            get().warning("answer cut", reason=self._reason, **self._log_fields())
+            raise RunInterruptedError(self._cut_refusal())
         self._started = started
         self._sequencer = EventSequencer(following=self._sequencer.following)
-        get().info("run resumed", **self._progress())
+        get().info("run resumed", **self._log_fields())
 
-    def _cut(self) -> Refusal:
+    def _cut_refusal(self) -> Refusal:
         detail = f"cut after event {self._sequencer.following - 1}: {self._fault}"
         return Refusal(ErrorKind.CUT, detail, Ran.UNKNOWN, 0.5)
 
-    # --- telling ------------------------------------------------------------
+    # --- logging ------------------------------------------------------------
 
-    def _progress(self) -> dict[str, Any]:
-        """Return what each line on this answer tells."""
+    def _log_fields(self) -> dict[str, Any]:
+        """Return the fields common to the log events about this response."""
         return {
             "request": self._exchange.request_id,
             "target": self._started.choice.target.name,
@@ -155,14 +155,14 @@
             "resumes": self._resumes,
         }
 
-    def _note_broken(self) -> None:
+    def _record_interruption(self) -> None:
         if self._sequencer.partial_bytes:
             self._exchange.runtime.metrics.add("streams.cut_events")
-        get().info("run broke off", reason=self._reason, **self._progress())
+        get().info("run broke off", reason=self._reason, **self._log_fields())
 
     # --- accounting --------------------------------------------------------
 
-    def _note_start(self, ttft: float) -> None:
+    def _record_start(self, ttft: float) -> None:
         head = self._started.head
         metrics = self._exchange.runtime.metrics
         metrics.time("ttft", ttft)
@@ -178,13 +178,13 @@
         runtime = self._exchange.runtime
         runtime.board.ended(self._started.choice.target.name, self._started.order.run)
 
-    def _end(self, whole: bool) -> None:
+    def _finish(self, whole: bool) -> None:
         exchange = self._exchange
         runtime = exchange.runtime
         self._stop_run()
         if not whole:
             runtime.targets.cancel(self._started.choice.target, self._started.order.run)
-            settle_refused(exchange, self._cut_unknown())
+            settle_refused(exchange, self._incomplete_refusal())
             return
         runtime.requests.note(exchange.request_id, exchange.customer.name, "ran")
         runtime.metrics.add("answers.whole")
@@ -195,14 +195,16 @@
         if not runtime.exporter.submit(export, request_id=exchange.request_id):
             runtime.metrics.add("exports.skipped")
 
-    def _cut_unknown(self) -> Refusal:
+    def _incomplete_refusal(self) -> Refusal:
         return Refusal(ErrorKind.CUT, "the stream was not brought to its end", Ran.UNKNOWN)
 
 
-def whole_answer(exchange: Exchange, relay: Relay) -> Answer:
-    """Return the whole text as one answer; raise `Broken` when it was cut."""
+def buffered_answer(exchange: Exchange, relay: Relay) -> Answer:
+    """Return the complete text as one response; raise `RunInterruptedError` if it is truncated."""
     events = b"".join(relay.events())
-    texts = [msgspec.json.decode(data)["choices"][0]["text"] for data in _TEXT.findall(events)]
+    texts = [
+        msgspec.json.decode(data)["choices"][0]["text"] for data in _TEXT_EVENT.findall(events)
+    ]
     assert exchange.completion is not None
     body = json.dumps(
         {
