--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -42,7 +42,7 @@
 from .stores import Stores
 from .targets import LoadReport, TargetClient
 from .tickets import Tickets
-from .underway import take
+from .underway import apply_sighting
 from .watch import Watch
 
 __all__ = ["Daemon"]
@@ -165,7 +165,7 @@
             address=self._settings["node"]["peer"],
             key=self._settings["keys"]["peer"],
             audience=self._cluster.audience,
-            take=lambda sighting: take(self._runtime, sighting),
+            take=lambda sighting: apply_sighting(self._runtime, sighting),
             metrics=self._metrics,
             bytes_a_second=self._settings["limits"]["sighting_bytes"],
         )
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -19,7 +19,7 @@
 from ..settle import TryFailed, begin, settle_refused
 from ..started import Started
 from ..targets import EngineHead, RunOrder, pause_seconds, proved_not_started, read_head
-from ..underway import UnderWay
+from ..underway import RunInFlight
 from .admit import choose_target, is_available, no_target_refusal
 
 __all__ = ["run_completion"]
@@ -121,17 +121,17 @@
     runtime.board.sent(choice.target.name, order.run, computed)
     exchange.begin_send(choice.target)
     stream = runtime.targets.run(choice.target, order, timeout=_run_timeout(exchange))
-    under_way = UnderWay.begin(exchange, choice, order)
+    in_flight = RunInFlight.begin(exchange, choice, order)
     try:
         head = _await_head(exchange, choice, order, stream)
     except TryFailed as failure:
         stream.close()
         runtime.board.ended(choice.target.name, order.run)
-        under_way.failed()
+        in_flight.failed()
         if not failure.sure:
             runtime.targets.cancel(choice.target, order.run)
         raise
-    under_way.started(head)
+    in_flight.started(head)
     return Started(choice, order, stream, head)
 
 
