--- a/packages/node/src/fielddrift_node/keeping.py
+++ b/packages/node/src/fielddrift_node/keeping.py
@@ -13,7 +13,7 @@
 from .exchange import Exchange
 from .log import get
 from .started import Started
-from .stores import placement
+from .stores import candidate_stores
 
 __all__ = ["keep_prefix"]
 
@@ -38,7 +38,7 @@
         digests=exchange.digests,
         blocks=blocks,
     )
-    for store in placement(exchange.configuration, name.folder):
+    for store in candidate_stores(exchange.configuration, name.folder):
         if runtime.stores.usable(store) and _export(exchange, started, name, store):
             return
     runtime.metrics.add("exports.failed")
@@ -54,12 +54,12 @@
     try:
         manifest = _write(exchange, started, name, store)
     except ExternalSystemError as error:
-        runtime.stores.note(store, worked=False)
+        runtime.stores.record_result(store, succeeded=False)
         get().info("export failed", request=exchange.request_id, error=str(error))
         return False
     finally:
         runtime.links.end_export(store, size)
-    runtime.stores.note(store, worked=True)
+    runtime.stores.record_result(store, succeeded=True)
     runtime.metrics.add("exports.done")
     runtime.metrics.add("link.exported", manifest.size)
     return True
--- a/packages/node/src/fielddrift_node/log.py
+++ b/packages/node/src/fielddrift_node/log.py
@@ -1,8 +1,8 @@
-"""Write logs as JSON lines, one id following a request through the nodes.
+"""Write logs as JSON lines; a request keeps one id in the logs of all nodes.
 
-Lines go through a bounded buffer that a thread empties: a reader of standard
-output that stops, or a burst of lines, costs lines and never time.  How many
-were lost is told as soon as lines can be written again.
+Lines go through a bounded buffer that a background thread writes out.  If the reader of standard
+output stops, or on a burst of lines, lines are dropped and the caller is never blocked.  The
+number of dropped lines is logged as soon as lines can be written again.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 __all__ = ["LineSink", "configure", "get"]
 
-_MOST_LINES = 2000
-"""Lines that wait to be written: some seconds of a busy node, under 1 MB."""
-_LINES_A_SECOND = 400
-"""Lines kept a second in the mean; a node answers some hundred requests a second."""
-_BURST_LINES = 800
-_WRITE_SECONDS = 0.1
-"""Lines of so long are written together: each write costs a system call."""
+_MAX_BUFFERED_LINE_COUNT = 2000
+"""Maximum number of buffered lines: some seconds of a busy node, under 1 MB."""
+_MAX_LINES_PER_SECOND = 400
+"""Mean rate above which lines are dropped; a node answers some hundred requests per second."""
+_MAX_BURST_LINE_COUNT = 800
+_WRITE_INTERVAL_SECONDS = 0.1
+"""Interval between writes. Lines are batched because each write costs a system call."""
 
 
 class LineSink:
@@ -36,43 +36,43 @@
     def __init__(self, *, descriptor: int) -> None:
         self._descriptor = descriptor
         self._lines: deque[str] = deque()
-        self._allowance = float(_BURST_LINES)
-        self._counted_at = clock.now()
-        self._lost = 0
+        self._allowance = float(_MAX_BURST_LINE_COUNT)
+        self._allowance_at = clock.now()
+        self._dropped = 0
         self._lock = threading.Lock()
         self._thread: threading.Thread | None = None
         self._closing = threading.Event()
 
     @property
     def lost(self) -> int:
-        """Return how many lines were lost and not yet told of."""
-        return self._lost
+        """Return the number of dropped lines that has not been logged yet."""
+        return self._dropped
 
     def write(self, text: str) -> None:
-        """Take text that ends with a line feed; drop it when there is no room."""
+        """Buffer text that ends with a line feed; drop it if a buffer or rate limit is reached."""
         with self._lock:
             if self._thread is None:
                 self._thread = threading.Thread(target=self._run, name="log", daemon=True)
                 self._thread.start()
-            if len(self._lines) >= _MOST_LINES or not self._allowed():
-                self._lost += 1
+            if len(self._lines) >= _MAX_BUFFERED_LINE_COUNT or not self._allowed():
+                self._dropped += 1
                 return
             self._lines.append(text)
 
     def flush(self) -> None:
-        """Do nothing: the thread writes."""
+        """Do nothing: the background thread writes the lines."""
 
     def close(self, *, seconds: float) -> None:
-        """Write what is left, for at most `seconds`."""
+        """Write the buffered lines, for at most `seconds`."""
         self._closing.set()
         if self._thread is not None:
             self._thread.join(seconds)
 
     def _allowed(self) -> bool:
         now = clock.now()
-        gained = (now - self._counted_at) * _LINES_A_SECOND
-        self._allowance = min(_BURST_LINES, self._allowance + gained)
-        self._counted_at = now
+        gained = (now - self._allowance_at) * _MAX_LINES_PER_SECOND
+        self._allowance = min(_MAX_BURST_LINE_COUNT, self._allowance + gained)
+        self._allowance_at = now
         if self._allowance < 1:
             return False
         self._allowance -= 1
@@ -80,13 +80,13 @@
 
     def _run(self) -> None:
         while True:
-            closing = self._closing.wait(_WRITE_SECONDS)
+            closing = self._closing.wait(_WRITE_INTERVAL_SECONDS)
             data = self._take()
             try:
                 while data:
                     data = data[os.write(self._descriptor, data) :]
             except OSError:
-                # Nobody reads any more; there is nowhere left to say so.
+                # Standard output cannot be written, so the error cannot be logged either.
                 return
             if closing and not self._lines:
                 return
@@ -95,14 +95,14 @@
         with self._lock:
             lines = list(self._lines)
             self._lines.clear()
-            lost, self._lost = self._lost, 0
+            lost, self._dropped = self._dropped, 0
         if lost:
             lines.append(json.dumps({"event": "log lines lost", "lines": lost}) + "\n")
         return "".join(lines).encode("utf-8", "replace")
 
 
 def configure(*, level: str, node: str) -> LineSink:
-    """Log JSON lines to standard output from `level` up, naming this node."""
+    """Log JSON lines to standard output, from `level` up and with the name of this node."""
     sink = LineSink(descriptor=sys.stdout.fileno())
     structlog.configure(
         processors=[
--- a/packages/node/src/fielddrift_node/metrics.py
+++ b/packages/node/src/fielddrift_node/metrics.py
@@ -1,7 +1,6 @@
-"""Count what happens, towards statsd and for operators who ask.
+"""Counters, gauges and timers, sent to statsd and shown to operators on request.
 
-`METRICS` lists every name that the node may send; a test holds it against the
-code and the docs.
+`METRICS` lists every name that the node may send; a test compares it with the code and the docs.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 __all__ = ["FLUSH_SECONDS", "METRICS", "RETRY_REASONS", "Metrics"]
 
 FLUSH_SECONDS = 10.0
-_TIMER_RATE = 0.1
+_TIMER_SAMPLE_RATE = 0.1
 
 RETRY_REASONS = ("connect", "not-started", "cut-before-head", "wrong-head", "resume")
 
@@ -66,10 +65,10 @@
 
 
 class Metrics:
-    """Keep totals of counters and gauges, and send them to statsd now and then.
+    """Totals of counters and gauges, which `flush` sends to statsd.  Thread-safe.
 
-    Counters are sent as sums by `flush`: a packet for each event would be
-    most of what a node sends.  Timers are sent for one event in ten.
+    Counters are sent as sums, because one packet per event would make up most of a node's
+    traffic.  Timers are sent for one event in ten.  No data is sent if `address` is empty.
     """
 
     def __init__(self, *, address: str) -> None:
@@ -84,7 +83,7 @@
 
     @property
     def totals(self) -> dict[str, float]:
-        """Return all counters and gauges since the start."""
+        """Return the counters since the start and the current gauges, by name."""
         with self._lock:
             return {**self._counters, **self._gauges}
 
@@ -101,31 +100,31 @@
             self._gauges[name] = value
 
     def time(self, name: str, seconds: float) -> None:
-        """Send a duration to the timer `name`."""
+        """Send a duration in seconds to the timer `name`, which is in milliseconds."""
         self._check(name)
         if self._client:
-            self._client.timing(name, seconds * 1000, rate=_TIMER_RATE)
+            self._client.timing(name, seconds * 1000, rate=_TIMER_SAMPLE_RATE)
 
     def refused(self, refusal: Refusal) -> None:
-        """Count a refusal under its reason."""
+        """Increment the counter of a refusal's kind."""
         self.add(refusal.counter)
 
     def flush(self) -> None:
-        """Send what has changed since the last flush."""
+        """Send the increases of counters since the last flush, and all gauges."""
         if self._client is None:
             return
         with self._lock:
-            grown = self._counters - self._sent
+            increases = self._counters - self._sent
             self._sent = Counter(self._counters)
             gauges = dict(self._gauges)
         with self._client.pipeline() as pipe:
-            for name, amount in grown.items():
+            for name, amount in increases.items():
                 pipe.incr(name, amount)
             for name, value in gauges.items():
                 pipe.gauge(name, value)
 
     def close(self) -> None:
-        """Send what is left, and stop sending."""
+        """Flush, and close the connection to statsd."""
         self.flush()
         if self._client is not None:
             self._client.close()
@@ -133,4 +132,4 @@
 
     def _check(self, name: str) -> None:
         if name not in METRICS:
-            raise ValueError(f"metric: {name!r}, expected one of METRICS")
+            raise ValueError(f"unknown metric {name!r}, expected one of METRICS")
--- a/packages/node/src/fielddrift_node/outside.py
+++ b/packages/node/src/fielddrift_node/outside.py
@@ -1,4 +1,4 @@
-"""Reach the platform: its table, object store and host list, over HTTP."""
+"""HTTP clients for the platform's table, object store and host list."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class HttpTable:
-    """The platform's table.  Every failure is an `ExternalSystemError`."""
+    """The platform's table.  Failures raise `ExternalSystemError`; `timeout` is in seconds."""
 
     def __init__(
         self, *, address: str, http: HttpClient, metrics: Metrics, timeout: float = 2.0
@@ -47,19 +47,22 @@
         self._timeout = timeout
 
     def read(self, keys: Sequence[str]) -> list[Row]:
-        """Return the rows of `keys`, in their order."""
+        """Return the rows of `keys`, in the order of `keys`."""
         self._metrics.add("table.reads", len(keys))
         return self._call("read", {"keys": list(keys)}, _Rows).rows
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
-        """Return up to `limit` rows whose key starts with `prefix` and follows `after`."""
+        """Return up to `limit` rows whose keys start with `prefix` and are greater than `after`."""
         body = {"prefix": prefix, "after": after, "limit": limit}
         rows = self._call("scan", body, _Rows).rows
         self._metrics.add("table.reads", 1 + len(rows))
         return rows
 
     def commit(self, transaction: Transaction) -> TransactionResult:
-        """Commit, or abort; an `ExternalSystemError` that is not sure may hide either."""
+        """Commit or abort a transaction.
+
+        After an `ExternalSystemError` without `not_executed`, either may have happened.
+        """
         writes = [write._asdict() for write in transaction.writes]
         self._metrics.add("table.writes", len(writes))
         done = self._call("commit", {"writes": writes}, _Committed)
@@ -82,7 +85,7 @@
 
 
 class HttpObjectStore:
-    """The platform's object store."""
+    """The platform's object store.  Failures raise `ExternalSystemError`."""
 
     def __init__(self, *, address: str, http: HttpClient, timeout: float = 5.0) -> None:
         self._address = address
@@ -90,7 +93,7 @@
         self._timeout = timeout
 
     def get(self, name: str) -> bytes | None:
-        """Return an object's bytes, None when there is none."""
+        """Return the bytes of an object, or None if it does not exist."""
         reply = self._http.request(Call("GET", self._url(name), timeout=self._timeout))
         if reply.status == 404:
             return None
@@ -98,7 +101,7 @@
         return reply.body
 
     def put(self, name: str, data: bytes) -> None:
-        """Store an object whole."""
+        """Store an object, replacing any earlier one."""
         _check(self._http.request(Call("PUT", self._url(name), data, timeout=self._timeout)))
 
     def _url(self, name: str) -> str:
@@ -106,7 +109,7 @@
 
 
 class HttpHostList:
-    """The platform's host list."""
+    """The platform's host list.  Failures raise `ExternalSystemError`."""
 
     def __init__(self, *, address: str, http: HttpClient, timeout: float = 2.0) -> None:
         self._address = address
@@ -114,7 +117,7 @@
         self._timeout = timeout
 
     def hosts(self) -> list[HostEntry]:
-        """Return all entries."""
+        """Return all entries of the list."""
         call = Call("GET", f"http://{self._address}/hosts", timeout=self._timeout)
         hosts: list[HostEntry] = _decode(self._http.request(call), _Hosts).hosts
         return hosts
--- a/packages/node/src/fielddrift_node/stores.py
+++ b/packages/node/src/fielddrift_node/stores.py
@@ -1,7 +1,7 @@
-"""Keep and find prefixes on store hosts.
+"""Store and look up prompt prefixes on store hosts.
 
-A prefix becomes visible by one conditional create of its manifest, after all
-of its parts are written; it is freed by taking the manifest away first.
+A prefix becomes visible when its manifest is created, by one conditional write after all of its
+parts are written.  To free a prefix, its manifest is removed first.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from . import clock
 from .http_client import Call, HttpClient
 
-__all__ = ["Found", "StoreClient", "Stores", "placement"]
+__all__ = ["Found", "StoreClient", "Stores", "candidate_stores"]
 
 _JSON = {"Content-Type": "application/json"}
-_LOOK_UP_SECONDS = 0.1
-_CANDIDATES = 2
+_LOOKUP_TIMEOUT_SECONDS = 0.1
+_CANDIDATE_COUNT = 2
 
 
 class Found(NamedTuple):
-    """A kept prefix and the store host that has it."""
+    """A stored prefix and its store host."""
 
     manifest: Manifest
     store: StoreHost
 
 
-class _Listed(msgspec.Struct):
+class _ManifestEntry(msgspec.Struct):
     path: str
     attempt: str
     blocks: int
@@ -49,43 +49,43 @@
         )
 
 
-class _Folder(msgspec.Struct):
-    manifests: list[_Listed]
+class _FolderListing(msgspec.Struct):
+    manifests: list[_ManifestEntry]
 
 
 class _HeldList(msgspec.Struct):
     held: list[StoredPrefix]
 
 
-def placement(configuration: Configuration, folder: str) -> list[StoreHost]:
-    """Return the store hosts that may have the prefixes of `folder`, best first."""
+def candidate_stores(configuration: Configuration, folder: str) -> list[StoreHost]:
+    """Return the store hosts that may have the prefixes of `folder`, in order of preference."""
     weights = [(s.name, float(s.memory + s.disk)) for s in configuration.stores.values()]
-    return [configuration.stores[name] for name in rank(folder, weights)[:_CANDIDATES]]
+    return [configuration.stores[name] for name in rank(folder, weights)[:_CANDIDATE_COUNT]]
 
 
 class StoreClient:
-    """Call one store host; raise `ExternalSystemError`."""
+    """Calls to one store host; the methods raise `ExternalSystemError`."""
 
     def __init__(self, *, http: HttpClient, store: StoreHost) -> None:
         self._http = http
         self._url = f"http://{store.address}"
 
-    def folder(self, folder: str, *, timeout: float = _LOOK_UP_SECONDS) -> list[Manifest]:
+    def folder(self, folder: str, *, timeout: float = _LOOKUP_TIMEOUT_SECONDS) -> list[Manifest]:
         """Return the manifests under `folder`."""
-        listed = self._get(f"manifests/{folder}", _Folder, timeout)
+        listed = self._get(f"manifests/{folder}", _FolderListing, timeout)
         return [entry.manifest() for entry in listed.manifests]
 
     def create(self, manifest: Manifest) -> bool:
-        """Create `manifest`; False when there is one already."""
+        """Create `manifest`; return False if there is one already."""
         body = msgspec.json.encode(manifest._asdict())
         return self._send("POST", "manifests", body) != 409
 
     def remove(self, path: str, attempt: str) -> bool:
-        """Take a manifest away if it is still that attempt's; False when not."""
+        """Remove a manifest if it is still the one of `attempt`; return False if it is not."""
         return self._send("DELETE", f"manifests/{path}?attempt={attempt}") != 409
 
     def held(self) -> list[StoredPrefix]:
-        """Return all kept prefixes."""
+        """Return all stored prefixes."""
         held: list[StoredPrefix] = self._get("held", _HeldList, 5.0).held
         return held
 
@@ -94,11 +94,11 @@
         return list(self._get("parts", dict[str, list[str]], 5.0)["parts"])
 
     def delete_part(self, part: str) -> None:
-        """Delete a part; harmless when it is gone."""
+        """Delete a part; no effect if it does not exist."""
         self._send("DELETE", f"parts/{part}")
 
     def set_tier(self, path: str, tier: str) -> None:
-        """Move a prefix to memory or disk."""
+        """Move a prefix to the tier memory or disk."""
         self._send("POST", "tier", msgspec.json.encode({"path": path, "tier": tier}))
 
     def _get(self, path: str, kind: Any, timeout: float) -> Any:
@@ -119,10 +119,10 @@
 
 
 class Stores:
-    """Look prefixes up on the few store hosts that may have them.
+    """Lookup of prefixes on the few store hosts that may have them.
 
-    A store host that failed is left alone for a while, so that requests fall
-    back to recomputing at once.
+    A circuit breaker skips a store host after failures, so that requests fall back to
+    recomputing without delay.
     """
 
     def __init__(self, *, http: HttpClient, pool: ThreadPoolExecutor) -> None:
@@ -131,17 +131,17 @@
         self._breakers: dict[str, CircuitBreaker] = {}
 
     def client(self, store: StoreHost) -> StoreClient:
-        """Return the client of one store host."""
+        """Return a client for one store host."""
         return StoreClient(http=self._http, store=store)
 
     def usable(self, store: StoreHost) -> bool:
-        """Return whether a store host may be asked now."""
+        """Return whether the circuit breaker allows calls to a store host now."""
         return self._breaker(store).allows(clock.now())
 
-    def note(self, store: StoreHost, *, worked: bool) -> None:
-        """Note how a call to a store host went."""
+    def record_result(self, store: StoreHost, *, succeeded: bool) -> None:
+        """Record whether a call to a store host succeeded."""
         breaker = self._breaker(store)
-        if worked:
+        if succeeded:
             breaker.succeeded()
         else:
             breaker.failed(clock.now())
@@ -149,31 +149,31 @@
     def find(
         self, configuration: Configuration, name: PrefixName, digests: list[str]
     ) -> Found | None:
-        """Return the longest kept prefix of a prompt; None when none is found in time."""
-        asked = {
-            self._pool.submit(self._look, store, name.folder): store
-            for store in placement(configuration, name.folder)
+        """Return the longest stored prefix of a prompt; None if none is found in time."""
+        lookups = {
+            self._pool.submit(self._list_manifests, store, name.folder): store
+            for store in candidate_stores(configuration, name.folder)
             if self.usable(store)
         }
-        wait_for(asked, timeout=2 * _LOOK_UP_SECONDS)
+        wait_for(lookups, timeout=2 * _LOOKUP_TIMEOUT_SECONDS)
         found = [
             Found(manifest, store)
-            for future, store in asked.items()
-            for manifest in self._done(future)
-            if _fits(manifest, digests)
+            for future, store in lookups.items()
+            for manifest in self._result(future)
+            if _matches(manifest, digests)
         ]
         return max(found, key=lambda f: f.manifest.blocks, default=None)
 
-    def _look(self, store: StoreHost, folder: str) -> list[Manifest]:
+    def _list_manifests(self, store: StoreHost, folder: str) -> list[Manifest]:
         try:
             found = self.client(store).folder(folder)
         except ExternalSystemError:
-            self.note(store, worked=False)
+            self.record_result(store, succeeded=False)
             return []
-        self.note(store, worked=True)
+        self.record_result(store, succeeded=True)
         return found
 
-    def _done(self, future: Future[list[Manifest]]) -> list[Manifest]:
+    def _result(self, future: Future[list[Manifest]]) -> list[Manifest]:
         try:
             return future.result(timeout=0)
         except (FutureTimeout, ExternalSystemError):
@@ -183,7 +183,7 @@
         return self._breakers.setdefault(store.name, CircuitBreaker())
 
 
-def _fits(manifest: Manifest, digests: list[str]) -> bool:
-    """Return whether the manifest's prefix is one of the prompt's own."""
+def _matches(manifest: Manifest, digests: list[str]) -> bool:
+    """Return whether the manifest's prefix is a prefix of the prompt with these `digests`."""
     blocks = manifest.blocks
     return 0 < blocks <= len(digests) and manifest.digest == digests[blocks - 1]
--- a/packages/node/src/fielddrift_node/targets.py
+++ b/packages/node/src/fielddrift_node/targets.py
@@ -1,4 +1,4 @@
-"""Speak to model engines and plain services over HTTP."""
+"""HTTP client for model engines and plain services."""
 
 from __future__ import annotations
 
@@ -26,12 +26,15 @@
 ]
 
 _JSON = {"Content-Type": "application/json"}
-_POLL_SECONDS = 1.0
-_ORDER_SECONDS = 15.0
+_POLL_TIMEOUT_SECONDS = 1.0
+_ORDER_TIMEOUT_SECONDS = 15.0
 
 
 class RunOrder(NamedTuple):
-    """A run as an engine is asked for it."""
+    """The request for a run, as an engine receives it.
+
+    `run` is its id; the response starts with event number `resume_at`.
+    """
 
     run: str
     customer: str
@@ -46,7 +49,11 @@
 
 
 class EngineHead(NamedTuple):
-    """What an engine says at the head of its answer."""
+    """The head of an engine's response, read from its headers.
+
+    `memory`, `imported` and `recomputed` count the prompt blocks by their source; `root` is the
+    engine's name of the cached prefix, by which its evictions refer to it.
+    """
 
     version: str
     customer: str
@@ -59,7 +66,7 @@
 
 
 class LoadReport(msgspec.Struct):
-    """A target's word on its load, with its cache events when polled."""
+    """A target's load report; the response to a poll also has its cache events."""
 
     running: int
     queued: int
@@ -71,12 +78,12 @@
     sequence: int = 0
 
     def load(self) -> Load:
-        """Return the load as routing takes it, heard now."""
+        """Return the load as used by routing, with the current time as the time of receipt."""
         return Load(self.running, self.queued, self.backlog, clock.now())
 
 
 class Order(NamedTuple):
-    """The wanted state of an engine, under a duty's fence."""
+    """The desired state of an engine, with the fencing token of the duty that orders it."""
 
     fence: int
     model: str
@@ -85,7 +92,7 @@
     work: str
 
     def holds(self, state: Mapping[str, Any]) -> bool:
-        """Return whether a target's `state`, as read back, is the wanted one."""
+        """Return whether a target's `state`, as read back, matches the desired one."""
         return (
             set(state["versions"]) >= set(self.versions)
             and set(state["wanted"]) == set(self.versions)
@@ -95,15 +102,18 @@
 
 
 def proved_not_started(reply: Head | Reply) -> bool:
-    """Return whether a target's answer proves that the request did not start.
+    """Return whether a target's response proves that the request did not start.
 
-    Only the target's explicit word counts; a status alone proves nothing.
+    Only an explicit header of the target counts; a status code alone proves nothing.
     """
     return reply.status >= 400 and reply.headers.get("x-started") == "no"
 
 
 def pause_seconds(reply: Head | Reply) -> float:
-    """Return for how long a target that did not start a request wants none, 0 for no time named."""
+    """Return the seconds for which a target that did not start a request wants no more of them.
+
+    The result is 0 if the target gives no such time.
+    """
     try:
         seconds = float(reply.headers.get("retry-after", "0"))
     except ValueError:
@@ -112,34 +122,36 @@
 
 
 class TargetClient:
-    """Call targets; raise `ExternalSystemError`."""
+    """Calls to targets; the methods raise `ExternalSystemError`."""
 
     def __init__(self, *, http: HttpClient) -> None:
         self._http = http
 
     def run(self, target: Target, order: RunOrder, *, timeout: float) -> Stream:
-        """Start a run; the stream's head comes with the first token."""
+        """Start a run; the head of the stream arrives with the first token."""
         body = msgspec.json.encode(order._asdict())
         url = f"http://{target.address}/v1/runs"
         return self._http.stream(Call("POST", url, body, _JSON, timeout=timeout))
 
     def cancel(self, target: Target, run: str) -> None:
-        """Ask an engine to end a run; nobody waits for the answer."""
+        """Ask an engine to cancel a run, without waiting for the response."""
         self._http.stream(Call("DELETE", f"http://{target.address}/v1/runs/{run}"))
 
     def call(self, target: Target, call: Call) -> Reply:
-        """Make a service call on a connection that libcurl will not retry on."""
+        """Make a service call on a new connection, on which libcurl does not resend it."""
         return self._http.request(call._replace(fresh=True))
 
     def load(self, target: Target, *, after: int) -> LoadReport:
-        """Poll a target's load, and its cache events after `after`."""
+        """Poll a target's load and its cache events with numbers above `after`."""
         url = f"http://{target.address}/load?after={after}"
-        return self._json(Call("GET", url, timeout=_POLL_SECONDS), LoadReport)
+        return self._json(Call("GET", url, timeout=_POLL_TIMEOUT_SECONDS), LoadReport)
 
     def order(self, target: Target, order: Order) -> bool:
-        """Give a target its wanted state; False when the fence is old."""
+        """Send a target its desired state; return False if the fencing token is outdated."""
         body = msgspec.json.encode(order._asdict())
-        call = Call("POST", f"http://{target.address}/orders", body, _JSON, timeout=_ORDER_SECONDS)
+        call = Call(
+            "POST", f"http://{target.address}/orders", body, _JSON, timeout=_ORDER_TIMEOUT_SECONDS
+        )
         reply = self._http.request(call)
         if reply.status == 409:
             return False
@@ -147,11 +159,11 @@
         return True
 
     def state(self, target: Target) -> dict[str, Any]:
-        """Read back what a target was ordered and has."""
+        """Read back the state that a target was ordered to have, and its actual state."""
         return self._json(Call("GET", f"http://{target.address}/orders"), dict[str, Any])
 
     def export(self, target: Target, order: Mapping[str, Any], *, timeout: float) -> list[Any]:
-        """Have an engine write a run's blocks to a store host; return the parts."""
+        """Have an engine export a run's blocks to a store host; return the parts written."""
         body = msgspec.json.encode(order)
         url = f"http://{target.address}/kv/export"
         reply = self._json(Call("POST", url, body, _JSON, timeout=timeout), dict[str, list[Any]])
@@ -168,7 +180,7 @@
 
 
 def read_head(head: Head) -> EngineHead:
-    """Return an engine's head; raise `ExternalSystemError` when it is not one."""
+    """Parse the head of an engine's response; raise `ExternalSystemError` if it is invalid."""
     try:
         fields = dict(pair.split("=") for pair in head.headers["x-context"].split())
         load = msgspec.json.decode(head.headers["x-load"], type=LoadReport)
@@ -183,7 +195,7 @@
             load=load,
         )
     except (KeyError, ValueError) as error:
-        raise ExternalSystemError(f"head of an engine's answer: {error!r}") from None
+        raise ExternalSystemError(f"invalid head of an engine's response: {error!r}") from None
 
 
 def _check(reply: Reply, call: Call) -> None:
