--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -28,7 +28,7 @@
 from .duties import Duties, StoreReconciler, TargetReconciler, duty_names
 from .exporter import Exporter
 from .http_client import HttpClient
-from .leasing import Leases, candidates
+from .leasing import Leases, contenders
 from .log import get
 from .metrics import FLUSH_SECONDS, Metrics
 from .operators import Operators
@@ -342,9 +342,9 @@
         wanted_duties = [
             duty
             for duty in duty_names(self._config.current)
-            if duty in held or own_address in candidates(duty, names)
+            if duty in held or own_address in contenders(duty, names)
         ]
-        self._leases.turn(wanted_duties)
+        self._leases.renew(wanted_duties)
         self._metrics.gauge("duties.held", len(self._leases.held()))
 
     def _run_duties(self) -> None:
@@ -353,7 +353,7 @@
 
     def _release_leases(self) -> None:
         try:
-            self._leases.give_back()
+            self._leases.release_all()
         except ExternalSystemError as error:
             get().info("could not release leases", error=str(error))
 
--- a/packages/node/src/fielddrift_node/filters/admit.py
+++ b/packages/node/src/fielddrift_node/filters/admit.py
@@ -65,7 +65,7 @@
             ttft_limit=exchange.left,
             capacity_rate=choice.target.prefill_rate * len(exchange.targets),
             now=clock.now(),
-            is_retry=runtime.tickets.counts(
+            is_retry=runtime.tickets.is_valid(
                 exchange.request.headers.get(TICKET_HEADER, ""), exchange.customer.name
             ),
         )
--- a/packages/node/src/fielddrift_node/started.py
+++ b/packages/node/src/fielddrift_node/started.py
@@ -1,4 +1,4 @@
-"""Hold a run that has started, with what was ordered and what its head says."""
+"""A started run, with its order and the head of its response."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Started(NamedTuple):
-    """A run whose head has come and was checked."""
+    """A run whose response head has arrived and been verified."""
 
     choice: Choice
     order: RunOrder
--- a/packages/node/src/fielddrift_node/stopping.py
+++ b/packages/node/src/fielddrift_node/stopping.py
@@ -10,19 +10,19 @@
 
 
 class StopSignals:
-    """SIGTERM and SIGINT, taken by the main thread when it asks for them.
+    """SIGTERM and SIGINT, received by the main thread with `sigwait`.
 
-    They stay blocked for the life of the process.  A Python handler that sets a
-    `threading.Event` can find the event's lock held by the code it interrupts,
-    its own first run included, and then waits for itself: two signals in a
-    row stopped one process in sixty for ever.
+    Both signals stay blocked for the lifetime of the process.  A Python handler that
+    sets a `threading.Event` can deadlock, because the code it interrupts (also an
+    earlier call of the handler) may hold the event's lock: two signals in a row
+    hung one process in sixty for good.
 
-    Create it before any thread, for threads inherit what is blocked.
+    Create it before any thread, because threads inherit the signal mask.
     """
 
     def __init__(self) -> None:
         signal.pthread_sigmask(signal.SIG_BLOCK, _STOP_SIGNALS)
 
     def wait(self) -> signal.Signals:
-        """Return the first signal, also one that came before this call."""
+        """Return the first signal, including one that arrived before this call."""
         return signal.Signals(signal.sigwait(_STOP_SIGNALS))
--- a/packages/node/src/fielddrift_node/tickets.py
+++ b/packages/node/src/fielddrift_node/tickets.py
@@ -1,7 +1,7 @@
-"""Let a refused caller who comes back when it was told go before newcomers.
+"""Give refused callers that retry on time priority over new requests.
 
-A ticket says for whom and from when it counts, under a keyed digest, so any
-node can check it and none has to remember it.
+A ticket states from when it is valid and carries a keyed digest of that time and
+its customer, so any node can verify it and no node has to store it.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 
 TICKET_HEADER = "Fielddrift-Ticket"
 
-_COUNTS_SECONDS = 10.0
+_VALID_SECONDS = 10.0
 _EARLY_SECONDS = 0.2
 _DIGEST_BYTES = 16
 
 
 class Tickets:
-    """Issue and check tickets under the peers' shared key."""
+    """Issue and verify retry tickets with the key shared by the nodes."""
 
     def __init__(self, *, key: str, clock: Callable[[], float] = time.time) -> None:
         self._key = hashlib.sha256(key.encode()).digest()
         self._clock = clock
 
     def issue(self, customer: str, after: float) -> str:
-        """Return a ticket that counts for a while from `after` seconds from now."""
-        begins = f"{self._clock() + after:.1f}"
-        return f"{begins}-{self._digest(customer, begins)}"
-
-    def counts(self, ticket: str, customer: str) -> bool:
-        """Return whether a customer's ticket counts now; False for anything malformed."""
-        begins, _, digest = ticket.partition("-")
-        if not hmac.compare_digest(digest.encode(), self._digest(customer, begins).encode()):
+        """Return a ticket that becomes valid `after` seconds from now, for a limited time."""
+        valid_from = f"{self._clock() + after:.1f}"
+        return f"{valid_from}-{self._digest(customer, valid_from)}"
+
+    def is_valid(self, ticket: str, customer: str) -> bool:
+        """Return whether a customer's ticket is valid now; False if it is malformed."""
+        valid_from, _, digest = ticket.partition("-")
+        if not hmac.compare_digest(digest.encode(), self._digest(customer, valid_from).encode()):
             return False
-        since = self._clock() - float(begins)
-        return -_EARLY_SECONDS <= since <= _COUNTS_SECONDS
+        since = self._clock() - float(valid_from)
+        return -_EARLY_SECONDS <= since <= _VALID_SECONDS
 
-    def _digest(self, customer: str, begins: str) -> str:
-        text = f"{begins}\0{customer}".encode()
+    def _digest(self, customer: str, valid_from: str) -> str:
+        text = f"{valid_from}\0{customer}".encode()
         return hashlib.blake2b(text, key=self._key, digest_size=_DIGEST_BYTES).hexdigest()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -205,14 +205,14 @@
         ticket = self.tickets.issue("a", 5.0)
         for at, counts in ((1000.0, False), (1005.0, True), (1014.0, True), (1020.0, False)):
             self.now = at
-            self.assertIs(self.tickets.counts(ticket, "a"), counts, at)
+            self.assertIs(self.tickets.is_valid(ticket, "a"), counts, at)
 
     def test_a_forged_or_malformed_ticket_does_not_count(self) -> None:
         ticket = self.tickets.issue("a", 0.0)
-        self.assertFalse(self.tickets.counts(ticket, "b"))
-        self.assertFalse(Tickets(key="o" * 16, clock=lambda: 1000.0).counts(ticket, "a"))
+        self.assertFalse(self.tickets.is_valid(ticket, "b"))
+        self.assertFalse(Tickets(key="o" * 16, clock=lambda: 1000.0).is_valid(ticket, "a"))
         for bad in ("", "-", "x-y", ticket[:-1], "9" + ticket, "\u00e9-\u00e9"):
-            self.assertFalse(self.tickets.counts(bad, "a"), bad)
+            self.assertFalse(self.tickets.is_valid(bad, "a"), bad)
 
 
 class RetriesTest(unittest.TestCase):
