--- a/packages/node/src/fielddrift_node/exporter.py
+++ b/packages/node/src/fielddrift_node/exporter.py
@@ -1,4 +1,4 @@
-"""Run exports in the background, on threads that look-ups do not wait for."""
+"""Run exports in the background, on threads separate from those of look-ups."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 __all__ = ["Exporter"]
 
-_THREADS = 4
-_MOST_WAITING = 32
+_THREAD_COUNT = 4
+_MAX_PENDING_COUNT = 32
 
 
 class Exporter:
-    """A bounded pool for exports.
+    """A bounded thread pool for exports.
 
-    When too many exports are waiting, further ones are skipped: a prefix that
-    is not kept costs time at its next return, and nothing else.
+    When too many exports are pending, further ones are skipped: a prefix that is
+    not stored only costs recomputation when it is next requested.
     """
 
     def __init__(self) -> None:
-        self._pool = ThreadPoolExecutor(_THREADS, thread_name_prefix="export")
-        self._room = threading.Semaphore(_MOST_WAITING)
+        self._pool = ThreadPoolExecutor(_THREAD_COUNT, thread_name_prefix="export")
+        self._slots = threading.Semaphore(_MAX_PENDING_COUNT)
 
     def submit(self, export: Callable[[], None], *, request_id: str) -> bool:
-        """Run `export` some time soon; False when too many are waiting."""
-        if not self._room.acquire(blocking=False):
+        """Queue `export`; return False if too many exports are pending."""
+        if not self._slots.acquire(blocking=False):
             return False
         self._pool.submit(self._run, export, request_id)
         return True
 
     def close(self) -> None:
-        """Finish the exports under way, drop the waiting ones."""
+        """Finish the running exports and cancel the queued ones."""
         self._pool.shutdown(wait=True, cancel_futures=True)
 
     def _run(self, export: Callable[[], None], request_id: str) -> None:
@@ -42,4 +42,4 @@
         except Exception:
             get().exception("export failed", request=request_id)
         finally:
-            self._room.release()
+            self._slots.release()
--- a/packages/node/src/fielddrift_node/keeping.py
+++ b/packages/node/src/fielddrift_node/keeping.py
@@ -1,4 +1,4 @@
-"""Keep a prompt's prefix on a store host after its run."""
+"""Export a prompt's prefix to a store host after its run."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from .started import Started
 from .stores import candidate_stores
 
-__all__ = ["keep_prefix"]
+__all__ = ["export_prefix"]
 
-BLOCKS_A_PART = 32
-BYTES_A_BLOCK = 4096
-_EXPORT_SECONDS = 30.0
+BLOCKS_PER_PART = 32
+BYTES_PER_BLOCK = 4096
+_EXPORT_TIMEOUT_SECONDS = 30.0
 
 
-def keep_prefix(exchange: Exchange, started: Started) -> None:
-    """Export the prefix of a finished run, if it is worth it."""
+def export_prefix(exchange: Exchange, started: Started) -> None:
+    """Export the prefix of a completed run, unless it is not worth storing."""
     runtime = exchange.runtime
     blocks = len(exchange.digests)
     kept = exchange.found.manifest.blocks if exchange.found else 0
@@ -45,9 +45,9 @@
 
 
 def _export(exchange: Exchange, started: Started, name: PrefixName, store: StoreHost) -> bool:
-    """Write the parts, then the manifest; return whether the prefix is kept."""
+    """Write the parts, then the manifest; return whether no other store need be tried."""
     runtime = exchange.runtime
-    size = name.blocks * BYTES_A_BLOCK
+    size = name.blocks * BYTES_PER_BLOCK
     if not runtime.links.begin_export(store, size):
         runtime.metrics.add("exports.skipped")
         return True
@@ -72,10 +72,10 @@
         "store": store.address,
         "attempt": attempt,
         "blocks": name.blocks,
-        "blocks_a_part": BLOCKS_A_PART,
+        "blocks_a_part": BLOCKS_PER_PART,
     }
     runtime = exchange.runtime
-    raw = runtime.targets.export(started.choice.target, order, timeout=_EXPORT_SECONDS)
+    raw = runtime.targets.export(started.choice.target, order, timeout=_EXPORT_TIMEOUT_SECONDS)
     try:
         parts = tuple(msgspec.convert(raw, list[ManifestPart]))
     except msgspec.ValidationError as error:
--- a/packages/node/src/fielddrift_node/relay.py
+++ b/packages/node/src/fielddrift_node/relay.py
@@ -20,7 +20,7 @@
 
 from . import clock
 from .exchange import Answer, Exchange
-from .keeping import keep_prefix
+from .keeping import export_prefix
 from .log import get
 from .settle import settle_refused
 from .started import Started
@@ -191,7 +191,7 @@
         exchange.answered()
         if self._reordered or self._sequencer.reordered:
             runtime.metrics.add("streams.reordered")
-        export = partial(keep_prefix, exchange, self._started)
+        export = partial(export_prefix, exchange, self._started)
         if not runtime.exporter.submit(export, request_id=exchange.request_id):
             runtime.metrics.add("exports.skipped")
 
