--- a/packages/node/src/fielddrift_node/operators.py
+++ b/packages/node/src/fielddrift_node/operators.py
@@ -1,4 +1,4 @@
-"""Take operators' statements: changes go to the log, queries are answered."""
+"""Run operators' statements: append changes to the change log, and answer queries."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 __all__ = ["Operators"]
 
-_LONGEST_WAIT = 60.0
-_LOOK_SECONDS = 0.1
+_MAX_WAIT_SECONDS = 60.0
+_POLL_SECONDS = 0.1
 _KEY_BYTES = 32
 
 
@@ -37,7 +37,10 @@
 
 
 class Operators:
-    """Run one statement for the operator whose key came with it."""
+    """Run the statements of operators, each authorised by the key that is sent with it.
+
+    `keys` maps the name of an operator to the SHA-256 digest of its key in hexadecimal.
+    """
 
     def __init__(self, *, runtime: Runtime, nodes: Nodes, keys: Mapping[str, str]) -> None:
         self._runtime = runtime
@@ -45,31 +48,36 @@
         self._keys = keys
 
     def run(self, authorization: str, raw: bytes) -> dict[str, Any] | Refusal:
-        """Return the statement's answer, or why there is none."""
+        """Return the result of the statement in the JSON body `raw`, or a refusal.
+
+        `authorization` is the value of the Authorization header.
+        """
         operator = self._operator(bearer_key(authorization))
         if operator is None:
-            return Refusal(ErrorKind.UNAUTHORIZED, "Authorization: not the key of an operator")
+            return Refusal(ErrorKind.UNAUTHORIZED, "Authorization: not an operator's key")
         try:
-            asked = msgspec.json.decode(raw, type=_Statement)
+            submitted = msgspec.json.decode(raw, type=_Statement)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return Refusal(ErrorKind.BAD_REQUEST, f"body: {error}")
-        if not 0 <= asked.wait <= _LONGEST_WAIT:
-            detail = f"wait: {asked.wait}, expected 0 to {_LONGEST_WAIT:.0f} seconds"
+        if not 0 <= submitted.wait <= _MAX_WAIT_SECONDS:
+            detail = f"wait: {submitted.wait}, expected 0 to {_MAX_WAIT_SECONDS:.0f} seconds"
             return Refusal(ErrorKind.BAD_REQUEST, detail)
-        fresh = GeneratedSecrets(secrets.token_urlsafe(_KEY_BYTES), secrets.token_hex(_KEY_BYTES))
+        generated = GeneratedSecrets(
+            secrets.token_urlsafe(_KEY_BYTES), secrets.token_hex(_KEY_BYTES)
+        )
         try:
-            parsed = parse(asked.statement, secrets=fresh)
+            parsed = parse(submitted.statement, secrets=generated)
         except Rejected as rejected:
             return rejected.refusal
         if isinstance(parsed, Lift):
             if not self._runtime.crashes.lift(parsed.fingerprint):
-                detail = f"request: {parsed.fingerprint!r}: no target ended under it"
+                detail = f"request: {parsed.fingerprint!r}: no recorded crash of a target"
                 return Refusal(ErrorKind.NOT_FOUND, detail)
             return {"let_go": parsed.fingerprint}
         if isinstance(parsed, Query):
             shown = answer(parsed, self._runtime, self._nodes)
             return shown if isinstance(shown, Refusal) else dict(shown)
-        return self._change(parsed, asked, operator, fresh)
+        return self._change(parsed, submitted, operator, generated)
 
     def _operator(self, key: str) -> str | None:
         digest = hashlib.sha256(key.encode()).hexdigest()
@@ -77,11 +85,11 @@
         return found[0] if found else None
 
     def _change(
-        self, command: Command, asked: _Statement, operator: str, fresh: GeneratedSecrets
+        self, command: Command, submitted: _Statement, operator: str, generated: GeneratedSecrets
     ) -> dict[str, Any] | Refusal:
-        change_id = asked.change_id or uuid.uuid4().hex
+        change_id = submitted.change_id or uuid.uuid4().hex
         outcome = self._runtime.config.submit(
-            command, change_id=change_id, operator=operator, since=asked.since
+            command, change_id=change_id, operator=operator, since=submitted.since
         )
         if isinstance(outcome, Refusal):
             return outcome
@@ -91,26 +99,29 @@
             "repeated": outcome.repeated,
         }
         if isinstance(command, CreateCustomer | RotateKey) and not outcome.repeated:
-            done["key"] = fresh.key
-        if asked.wait:
-            done.update(self._in_force(outcome, asked.wait))
+            done["key"] = generated.key
+        if submitted.wait:
+            done.update(self._wait_until_applied(outcome, submitted.wait))
         return done
 
-    def _in_force(self, accepted: Accepted, wait: float) -> dict[str, Any]:
-        """Wait until every node has confirmed; name those that have not."""
+    def _wait_until_applied(self, accepted: Accepted, wait: float) -> dict[str, Any]:
+        """Wait at most `wait` seconds until every live node has applied the change.
+
+        Return whether all have, the names of those that have not, and the seconds waited.
+        """
         until = clock.now() + wait
-        began = clock.now()
+        started_at = clock.now()
         pending = self._pending(accepted.revision)
         while pending and clock.now() < until:
-            time.sleep(_LOOK_SECONDS)
+            time.sleep(_POLL_SECONDS)
             pending = self._pending(accepted.revision)
-        seconds = round(clock.now() - began, 3)
+        seconds = round(clock.now() - started_at, 3)
         return {"in_force": not pending, "pending": pending, "seconds": seconds}
 
     def _pending(self, revision: int) -> list[str]:
         membership = self._nodes.membership
         others = [m.name for m in membership.members if m.name != membership.me.name]
         alive = {m.name for m in membership.members if m.status is not Status.DEAD}
-        asked = [name for name in others if name in alive]
-        found = self._runtime.pool.map(self._nodes.peers.revision, asked)
-        return [n for n, seen in zip(asked, found, strict=True) if seen is None or seen < revision]
+        live = [name for name in others if name in alive]
+        found = self._runtime.pool.map(self._nodes.peers.revision, live)
+        return [n for n, seen in zip(live, found, strict=True) if seen is None or seen < revision]
--- a/packages/node/src/fielddrift_node/queries.py
+++ b/packages/node/src/fielddrift_node/queries.py
@@ -1,7 +1,8 @@
-"""Answer operators' `show` statements.
+"""Run operators' `show` statements.
 
-Each noun has a function, registered with `shows`, that gives the rows; the
-conditions and the grouping of the statement work on any of them.
+For each noun of the grammar, a function registered with `shows` returns the
+rows.  The conditions and the grouping of a statement apply to the rows of any
+noun.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 
 __all__ = ["Nodes", "Shown", "answer"]
 
-_MOST_ROWS = 10_000
+_MAX_ROWS = 10_000
 
 Rows = list[dict[str, Any]]
 
 
 class Shown(TypedDict):
-    """The answer to a query; `partial` names what could not be asked."""
+    """The result of a query; `partial` lists the sources that could not be read."""
 
     columns: list[str]
     rows: list[list[Any]]
@@ -38,7 +39,7 @@
 
 
 class Nodes:
-    """What queries ask of the other nodes and the table."""
+    """Sources of a query outside this node: the other nodes and the platform's table."""
 
     def __init__(self, *, membership: Membership, peers: Peers, table: Table) -> None:
         self.membership = membership
@@ -46,38 +47,38 @@
         self.table = table
 
 
-_Show = Callable[[Runtime, Nodes, list[str]], Rows]
-_SHOW: dict[str, _Show] = {}
+_RowSource = Callable[[Runtime, Nodes, list[str]], Rows]
+_ROW_SOURCES: dict[str, _RowSource] = {}
 
 
-def shows(noun: str) -> Callable[[_Show], _Show]:
-    """Register the decorated function as the one that lists `noun`."""
+def shows(noun: str) -> Callable[[_RowSource], _RowSource]:
+    """Return a decorator that registers a function as the source of the rows of `noun`."""
 
-    def register(function: _Show) -> _Show:
-        _SHOW[noun] = function
+    def register(function: _RowSource) -> _RowSource:
+        _ROW_SOURCES[noun] = function
         return function
 
     return register
 
 
 def answer(query: Query, runtime: Runtime, nodes: Nodes) -> Shown | Refusal:
-    """Return the rows that `query` asks for, or why it cannot be answered."""
+    """Return at most `_MAX_ROWS` rows for `query`, or a refusal if it names an unknown field."""
     partial: list[str] = []
-    rows = _SHOW[query.noun](runtime, nodes, partial)
+    rows = _ROW_SOURCES[query.noun](runtime, nodes, partial)
     columns = list(rows[0]) if rows else []
     unknown = [f for f in (*(c.field for c in query.conditions), *query.by) if f not in columns]
     if rows and unknown:
         detail = f"field: {unknown[0]!r}, expected one of {', '.join(columns)}"
         return Refusal(ErrorKind.BAD_REQUEST, detail)
-    kept = [row for row in rows if all(_holds(row, c) for c in query.conditions)]
+    kept = [row for row in rows if all(_matches(row, c) for c in query.conditions)]
     if query.by:
         kept = _group(kept, query.by)
         columns = [*query.by, "count", *(["size"] if "size" in columns else [])]
-    shown = [[row[column] for column in columns] for row in kept[:_MOST_ROWS]]
+    shown = [[row[column] for column in columns] for row in kept[:_MAX_ROWS]]
     return Shown(columns=columns, rows=shown, partial=partial)
 
 
-def _holds(row: dict[str, Any], condition: Condition) -> bool:
+def _matches(row: dict[str, Any], condition: Condition) -> bool:
     value = row[condition.field]
     if isinstance(condition.value, bool):
         return bool(value)
@@ -119,7 +120,7 @@
 
 
 @shows("holds")
-def _holds_rows(runtime: Runtime, nodes: Nodes, partial: list[str]) -> Rows:
+def _hold_rules(runtime: Runtime, nodes: Nodes, partial: list[str]) -> Rows:
     return [rule._asdict() for rule in runtime.config.current.holds.values()]
 
 
@@ -150,7 +151,7 @@
     ]
 
 
-# --- the present state -----------------------------------------------------
+# --- current state ---------------------------------------------------------
 
 
 @shows("load")
@@ -181,7 +182,7 @@
         try:
             held = runtime.stores.client(store).held()
         except ExternalSystemError:
-            partial.append(f"store {store.name} cannot be asked")
+            partial.append(f"cannot read store {store.name}")
             continue
         for entry in held:
             customer, model, version = entry.path.split("/")[:3]
@@ -217,9 +218,9 @@
 @shows("duties")
 def _duties(runtime: Runtime, nodes: Nodes, partial: list[str]) -> Rows:
     try:
-        rows = nodes.table.scan(LEASE_PREFIX, LEASE_PREFIX, _MOST_ROWS)
+        rows = nodes.table.scan(LEASE_PREFIX, LEASE_PREFIX, _MAX_ROWS)
     except ExternalSystemError:
-        partial.append("the platform's table cannot be read")
+        partial.append("cannot read the platform's table")
         return []
     leases: list[LeaseRow] = [decode_lease(row) for row in rows]
     return [{"duty": x.duty, "holder": x.holder, "fence": x.fence} for x in leases]
