--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -276,7 +276,7 @@
             address="127.0.0.1:0",
             key="k" * 16,
             audience=lambda model: (),
-            take=lambda sighting: None,
+            on_receive=lambda sighting: None,
             metrics=Metrics(address=""),
         )
         size = sum(len(data) + IP_UDP_BYTES for one in (sent, head) for data in teller.pack([one]))
--- a/packages/node/src/fielddrift_node/callers.py
+++ b/packages/node/src/fielddrift_node/callers.py
@@ -22,7 +22,7 @@
 from .log import get
 from .operators import Operators
 from .runtime import Runtime
-from .settle import truthful
+from .settle import qualify_not_run
 from .tickets import TICKET_HEADER
 
 __all__ = ["CallersApp"]
@@ -152,7 +152,7 @@
         if not places.take():
             detail = "this node has reached its limit of concurrent requests"
             refusal = Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, 0.5)
-            return self._refuse(truthful(refusal, dict(request.headers)), request_id)
+            return self._refuse(qualify_not_run(refusal, dict(request.headers)), request_id)
         try:
             response = self._run_filters(request, request_id, path, filters)
         except BaseException:
@@ -169,7 +169,7 @@
         if outcome.is_err():
             refusal = outcome.unwrap_err()
             if exchange.claim is None:
-                refusal = truthful(refusal, dict(request.headers))
+                refusal = qualify_not_run(refusal, dict(request.headers))
             response = self._refuse(refusal, request_id)
             if refusal.kind in _TICKET_KINDS and refusal.retry_after is not None:
                 ticket = self._runtime.tickets.issue(exchange.customer.name, refusal.retry_after)
--- a/packages/node/src/fielddrift_node/clock.py
+++ b/packages/node/src/fielddrift_node/clock.py
@@ -1,7 +1,7 @@
-"""The one clock for durations: it also counts the time for which the host was suspended.
+"""The clock for all durations: it includes the time for which the host was suspended.
 
-The steady clock of the language stands still then: a lease would be believed to be held, an
-entry to be fresh, and a target be given more time than the caller has.
+`time.monotonic` stops during a suspension on Linux: an expired lease would count as held, a
+stale entry as fresh, and a target would get more time than the caller has left.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 __all__ = ["SuspendAwareLoop", "now"]
 
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Linux has a clock that counts on; elsewhere the steady one has to do."""
+"""Linux has a clock that includes suspended time; elsewhere the monotonic clock is used."""
 
 
 def now() -> float:
@@ -21,9 +21,9 @@
 
 
 class SuspendAwareLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time and timers go by `now`.
+    """An event loop whose time and timers use `now`.
 
-    A timer that came due during a suspension fires at the first turn after it.
+    A timer that expired during a suspension fires in the first iteration after it.
     """
 
     def time(self) -> float:
--- a/packages/node/src/fielddrift_node/cluster.py
+++ b/packages/node/src/fielddrift_node/cluster.py
@@ -228,7 +228,7 @@
                 reply = self._calls.snapshot(address)
             except ExternalSystemError:
                 continue
-            self._config.take_snapshot(reply.configuration)
+            self._config.apply_snapshot(reply.configuration)
             self._merge_members(reply.members)
             self._ping(address)
             return True
@@ -274,9 +274,9 @@
     def _fetch_from(self, peer: str) -> None:
         try:
             first, last = self._config.revision + 1, self._config.heard
-            self._config.take_entries(self._calls.entries(peer, first, last))
+            self._config.add_entries(self._calls.entries(peer, first, last))
             if self._config.behind:
-                self._config.take_snapshot(self._calls.snapshot(peer).configuration)
+                self._config.apply_snapshot(self._calls.snapshot(peer).configuration)
         except (ExternalSystemError, ValueError):
             return
 
@@ -315,7 +315,7 @@
         changed |= self._crashes.merge(crashes_from_message(message))
         if changed:
             self.spread()
-        if self._config.hear(message.heard):
+        if self._config.note_accepted(message.heard):
             self._pool.submit(self.catch_up, message.sender)
 
     def _merge_members(self, messages: Iterable[pb.Member]) -> None:
--- a/packages/node/src/fielddrift_node/configuration.py
+++ b/packages/node/src/fielddrift_node/configuration.py
@@ -1,7 +1,7 @@
-"""Bring the configuration log from the table, or from peers, into force here.
+"""Replicate the configuration log from the table or from peers, and append changes to it.
 
-Changes are appended by one conditional transaction.  Nodes poll the head
-seldom, the more of them there are the seldomer, and tell each other.
+A change is appended by one conditional transaction.  The more nodes there are, the less often
+each polls the head of the log; between polls, nodes learn of new revisions by gossip.
 """
 
 from __future__ import annotations
@@ -40,29 +40,29 @@
 __all__ = ["Accepted", "ConfigSync", "poll_seconds", "subject"]
 
 SNAPSHOT_OBJECT = "config/snapshot"
-_ENTRIES_A_READ = 100
-_POLLS_A_SECOND = 40.0
-_SHORTEST_POLL = 0.5
-_TRIES = 8
+_MAX_ENTRIES_PER_READ = 100
+_POLLS_PER_SECOND = 40.0
+_MIN_POLL_SECONDS = 0.5
+_MAX_ATTEMPT_COUNT = 8
 
 
 class Accepted(NamedTuple):
-    """A change that the log has taken, now or before under the same change id."""
+    """A change in the log; `repeated` if it was accepted earlier under the same change id."""
 
     revision: int
     repeated: bool = False
 
 
 def poll_seconds(members: int) -> float:
-    """Return how often one of `members` nodes reads the head, in seconds.
+    """Return the seconds between two reads of the head by one of `members` nodes.
 
-    All nodes together read it at most `_POLLS_A_SECOND` times a second.
+    All nodes together read it at most `_POLLS_PER_SECOND` times per second.
     """
-    return max(_SHORTEST_POLL, members / _POLLS_A_SECOND)
+    return max(_MIN_POLL_SECONDS, members / _POLLS_PER_SECOND)
 
 
 def subject(command: Command) -> tuple[str, str]:
-    """Return what a command is about: two on one subject may conflict."""
+    """Return the kind and name that `command` changes; two changes to one subject may conflict."""
     first = command[0]
     name = first if isinstance(first, str) else first[0]
     kind = type(command).__name__
@@ -76,7 +76,7 @@
 
 
 class ConfigSync:
-    """Keep one node's `ConfigView` up to date.  Safe for threads."""
+    """Keep one node's `ConfigView` up to date.  Thread-safe."""
 
     def __init__(
         self,
@@ -97,12 +97,12 @@
 
     @property
     def current(self) -> Configuration:
-        """Return the configuration in force here."""
+        """Return the configuration in force at this node."""
         return self._view.configuration
 
     @property
     def revision(self) -> int:
-        """Return the revision in force here."""
+        """Return the revision in force at this node."""
         return self._view.revision
 
     @property
@@ -111,22 +111,25 @@
         return self._view.heard
 
     def serving(self, role: TargetRole, name: str) -> tuple[Target, ...]:
-        """Return the targets of `role` that serve `name`, found once a revision."""
+        """Return the targets of `role` that serve `name`, cached for the revision in force."""
         configuration = self.current
-        # Read once: another thread may replace the pair by that of a later revision, where
-        # what is found in this one must not be noted.
-        revision, found = self._serving
+        # Read once: another thread may replace the pair by that of a later revision, whose
+        # cache must not get results of this one.
+        revision, cached = self._serving
         if revision != configuration.revision:
-            found = {}
-            self._serving = (configuration.revision, found)
-        if (role, name) not in found:
-            found[(role, name)] = configuration.serving(role, name)
-        return found[(role, name)]
+            cached = {}
+            self._serving = (configuration.revision, cached)
+        if (role, name) not in cached:
+            cached[(role, name)] = configuration.serving(role, name)
+        return cached[(role, name)]
 
     # --- catching up -------------------------------------------------------
 
     def poll(self) -> None:
-        """Read the head and what is missing from the table; raise `ExternalSystemError`."""
+        """Read the head and the missing entries from the table.
+
+        Raises `ExternalSystemError` when the table or the object store fails.
+        """
         head = _head(self._table.read([HEAD_KEY])[0])
         with self._lock:
             self._view.note_accepted(head)
@@ -136,21 +139,21 @@
 
     @property
     def behind(self) -> bool:
-        """Return whether accepted changes are missing here."""
+        """Return whether accepted changes are missing at this node."""
         return self._view.behind
 
-    def hear(self, revision: int) -> bool:
-        """Note that `revision` was accepted; return whether changes are missing here."""
+    def note_accepted(self, revision: int) -> bool:
+        """Record that `revision` was accepted; return whether changes are missing."""
         with self._lock:
             self._view.note_accepted(revision)
             return self._view.behind
 
-    def take_entries(self, entries: list[str]) -> None:
-        """Take entries from a peer, in any order."""
+    def add_entries(self, entries: list[str]) -> None:
+        """Add encoded entries from a peer, in any order."""
         self._put([(raw, decode_entry(raw)) for raw in entries])
 
-    def take_snapshot(self, raw: bytes) -> bool:
-        """Take a whole configuration from a peer; False when it is not later."""
+    def apply_snapshot(self, raw: bytes) -> bool:
+        """Apply an encoded snapshot; return False if it is not later than the revision in force."""
         configuration = decode_snapshot(raw)
         with self._lock:
             taken = self._view.apply_snapshot(configuration)
@@ -159,26 +162,26 @@
         return taken
 
     def snapshot(self) -> bytes:
-        """Return the configuration in force for a peer that starts."""
+        """Return the encoded snapshot of the configuration in force."""
         return encode_snapshot(self.current)
 
     def entries(self, first: int, last: int) -> list[str]:
-        """Return the entries that this node still has of a range."""
-        last = min(last, first + _ENTRIES_A_READ)
+        """Return the encoded entries from `first` to `last` that this node still keeps."""
+        last = min(last, first + _MAX_ENTRIES_PER_READ)
         return [self._entries[r] for r in range(first, last + 1) if r in self._entries]
 
     def _take_stored_snapshot(self) -> None:
         raw = self._objects.get(SNAPSHOT_OBJECT)
         if raw is not None:
-            self.take_snapshot(raw)
+            self.apply_snapshot(raw)
 
     def _fetch(self) -> None:
-        while missing := list(self._view.missing())[:_ENTRIES_A_READ]:
+        while missing := list(self._view.missing())[:_MAX_ENTRIES_PER_READ]:
             rows = self._table.read([entry_key(revision) for revision in missing])
-            known = [row.value for row in rows if row.version]
-            if not known:
+            stored = [row.value for row in rows if row.version]
+            if not stored:
                 raise ExternalSystemError(f"configuration entry {missing[0]}: not in the table")
-            self._put([(raw, decode_entry(raw)) for raw in known])
+            self._put([(raw, decode_entry(raw)) for raw in stored])
 
     def _put(self, entries: list[tuple[str, LogEntry]]) -> None:
         with self._lock:
@@ -186,7 +189,7 @@
             for raw, entry in entries:
                 self._entries[entry.revision] = raw
                 count += self._view.put(entry)
-            while len(self._entries) > 10 * _ENTRIES_A_READ:
+            while len(self._entries) > 10 * _MAX_ENTRIES_PER_READ:
                 del self._entries[min(self._entries)]
         if count:
             self._changed(count)
@@ -201,19 +204,19 @@
     def submit(
         self, command: Command, *, change_id: str, operator: str, since: int | None = None
     ) -> Accepted | Refusal:
-        """Append a change; return its revision, or why it was not taken.
+        """Append a change; return its revision, or the refusal of it.
 
-        `since` is the revision that the operator looked at: a change on the
-        same subject after it wins.  The same `change_id` is never taken twice.
+        `since` is the revision that the operator saw, by default the one in force: the change
+        is refused if a later one has the same subject.  Each `change_id` is applied only once.
         """
         base = self.revision if since is None else since
         try:
-            for _ in range(_TRIES):
+            for _ in range(_MAX_ATTEMPT_COUNT):
                 outcome = self._try_append(command, change_id, operator, base)
                 if outcome is not None:
                     return outcome
         except ExternalSystemError as error:
-            return self._out_of_reach(error)
+            return self._unreachable(error)
         return Refusal(ErrorKind.CONFLICT, "other changes kept coming first", Ran.NO, 1.0)
 
     def _try_append(
@@ -228,12 +231,12 @@
         self.poll()
         if self.revision != _head(head):
             return None
-        if refusal := self._unfit(command, base):
+        if refusal := self._find_refusal(command, base):
             return refusal
         entry = LogEntry(self.revision + 1, change_id, operator, command)
         return self._append(entry, head)
 
-    def _unfit(self, command: Command, base: int) -> Refusal | None:
+    def _find_refusal(self, command: Command, base: int) -> Refusal | None:
         for revision in range(base + 1, self.revision + 1):
             raw = self._entries.get(revision)
             if raw is None:
@@ -262,7 +265,7 @@
         try:
             done = self._table.commit(Transaction(writes)).ok
         except ExternalSystemError:
-            # The answer may have been lost after the change took effect.
+            # The transaction may have been committed although its response was lost.
             done = bool(self._table.read([change_key(entry.change_id)])[0].version)
         if not done:
             return None
@@ -277,7 +280,7 @@
         except ExternalSystemError as error:
             get().warning("configuration snapshot not stored", error=str(error))
 
-    def _out_of_reach(self, error: ExternalSystemError) -> Refusal:
+    def _unreachable(self, error: ExternalSystemError) -> Refusal:
         detail = f"whether the change was taken is not known: {error}; ask again with its id"
         return Refusal(ErrorKind.PLATFORM_DOWN, detail, Ran.UNKNOWN, retry_after=2.0)
 
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -152,7 +152,7 @@
             rng=rng,
             pool=self._pool,
             exporter=self._exporter,
-            tell=lambda model, sighting: self._sightings.tell(model, sighting),
+            tell=lambda model, sighting: self._sightings.send(model, sighting),
             tickets=Tickets(key=self._settings["keys"]["peer"]),
             places=Places(limit=self._settings["limits"]["requests"]),
             leaving=self._cluster.leaving,
@@ -165,9 +165,9 @@
             address=self._settings["node"]["peer"],
             key=self._settings["keys"]["peer"],
             audience=self._cluster.audience,
-            take=lambda sighting: apply_sighting(self._runtime, sighting),
+            on_receive=lambda sighting: apply_sighting(self._runtime, sighting),
             metrics=self._metrics,
-            bytes_a_second=self._settings["limits"]["sighting_bytes"],
+            bytes_per_second=self._settings["limits"]["sighting_bytes"],
         )
 
     def _build_duties(self) -> None:
--- a/packages/node/src/fielddrift_node/filters/call.py
+++ b/packages/node/src/fielddrift_node/filters/call.py
@@ -13,7 +13,7 @@
 
 from ..exchange import Answer, Exchange
 from ..http_client import Call, Reply
-from ..settle import TryFailed, begin, settle_refused
+from ..settle import AttemptFailed, settle_refused, start_request
 from ..targets import pause_seconds, proved_not_started
 from .admit import is_available, no_target_refusal
 
@@ -25,7 +25,7 @@
 def call_service(exchange: Exchange) -> Result[Exchange, Refusal]:
     """Set the service's answer, or return a refusal that states whether the call ran."""
     runtime = exchange.runtime
-    if refusal := begin(exchange):
+    if refusal := start_request(exchange):
         return Err(refusal)
     outcome = _call_with_retries(exchange)
     if isinstance(outcome, Refusal):
@@ -56,12 +56,12 @@
             return held
         try:
             return _send_once(exchange, target)
-        except TryFailed as failure:
+        except AttemptFailed as failure:
             last = str(failure)
-            not_executed = not_executed and failure.sure
+            not_executed = not_executed and failure.not_executed
             exchange.failed.add(target.name)
             wait = backoff(attempt, rng=runtime.rng, left=exchange.left)
-            allowed = failure.sure or exchange.repeatable
+            allowed = failure.not_executed or exchange.repeatable
             if not allowed or wait is None or not runtime.board.may_retry(target.name):
                 return _failure_refusal(str(failure), not_executed)
             runtime.metrics.add(f"retried.{failure.reason}")
@@ -89,14 +89,16 @@
         runtime.board.failed(target.name)
         exchange.broke_off(target, error)
         reason = "connect" if error.not_executed else "cut-before-head"
-        raise TryFailed(str(error), reason, sure=error.not_executed) from None
+        raise AttemptFailed(str(error), reason, not_executed=error.not_executed) from None
     finally:
         runtime.board.ended(target.name, exchange.request_id)
     runtime.heard_headers(target.name, reply.headers)
     runtime.board.succeeded(target.name)
     if proved_not_started(reply):
         runtime.board.record_pause(target.name, pause_seconds(reply))
-        raise TryFailed(f"target {target.name}: did not start it", "not-started", sure=True)
+        raise AttemptFailed(
+            f"target {target.name}: did not start it", "not-started", not_executed=True
+        )
     if reply.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         exchange.answered()
     return reply
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -16,7 +16,7 @@
 from ..http_client import Stream
 from ..log import get
 from ..relay import Relay, RunInterruptedError, buffered_answer
-from ..settle import TryFailed, begin, settle_refused
+from ..settle import AttemptFailed, settle_refused, start_request
 from ..started import Started
 from ..targets import EngineHead, RunOrder, pause_seconds, proved_not_started, read_head
 from ..underway import RunInFlight
@@ -40,7 +40,7 @@
 def run_completion(exchange: Exchange) -> Result[Exchange, Refusal]:
     """Set the answer: a relayed stream, or the whole text."""
     assert exchange.completion is not None
-    if refusal := begin(exchange):
+    if refusal := start_request(exchange):
         return Err(refusal)
     start_result = _start_with_retries(exchange, resume_at=1)
     if start_result.started is None:
@@ -88,7 +88,7 @@
             return _StartResult(None, held)
         try:
             return _StartResult(_start_once(exchange, choice, f"{attempt}", resume_at))
-        except TryFailed as failure:
+        except AttemptFailed as failure:
             last = str(failure)
             get().info(
                 "send failed",
@@ -96,13 +96,13 @@
                 target=choice.target.name,
                 reason=failure.reason,
                 detail=last,
-                not_run=failure.sure,
+                not_run=failure.not_executed,
                 after=resume_at - 1,
             )
-            not_executed = not_executed and failure.sure
+            not_executed = not_executed and failure.not_executed
             exchange.failed.add(choice.target.name)
             wait = backoff(attempt, rng=runtime.rng, left=exchange.left)
-            allowed = failure.sure or exchange.repeatable
+            allowed = failure.not_executed or exchange.repeatable
             if not allowed or wait is None or not runtime.board.may_retry(choice.target.name):
                 return _StartResult(None, _failure_refusal(exchange, str(failure), not_executed))
             runtime.metrics.add(f"retried.{failure.reason}")
@@ -124,11 +124,11 @@
     in_flight = RunInFlight.begin(exchange, choice, order)
     try:
         head = _await_head(exchange, choice, order, stream)
-    except TryFailed as failure:
+    except AttemptFailed as failure:
         stream.close()
         runtime.board.ended(choice.target.name, order.run)
         in_flight.failed()
-        if not failure.sure:
+        if not failure.not_executed:
             runtime.targets.cancel(choice.target, order.run)
         raise
     in_flight.started(head)
@@ -138,7 +138,7 @@
 def _await_head(exchange: Exchange, choice: Choice, order: RunOrder, stream: Stream) -> EngineHead:
     """Return the head of the answer, after checking that it matches the order.
 
-    Raise `TryFailed` if it does not arrive in time or does not match.
+    Raise `AttemptFailed` if it does not arrive in time or does not match.
     """
     runtime = exchange.runtime
     name = choice.target.name
@@ -146,20 +146,24 @@
         head = stream.head.result(timeout=max(0.001, _first_token_timeout(exchange, choice)))
     except FutureTimeout:
         runtime.board.failed(name)
-        raise TryFailed(f"target {name}: no first token", "cut-before-head", sure=False) from None
+        raise AttemptFailed(
+            f"target {name}: no first token", "cut-before-head", not_executed=False
+        ) from None
     except ExternalSystemError as error:
         runtime.board.failed(name)
         exchange.broke_off(choice.target, error)
         reason = "connect" if error.not_executed else "cut-before-head"
-        raise TryFailed(str(error), reason, sure=error.not_executed) from None
+        raise AttemptFailed(str(error), reason, not_executed=error.not_executed) from None
     runtime.heard_headers(name, head.headers)
     if proved_not_started(head):
         runtime.board.succeeded(name)
         runtime.board.record_pause(name, pause_seconds(head))
-        raise TryFailed(f"target {name}: did not start it", "not-started", sure=True)
+        raise AttemptFailed(f"target {name}: did not start it", "not-started", not_executed=True)
     if head.status != 200:
         runtime.board.failed(name)
-        raise TryFailed(f"target {name}: status {head.status}", "wrong-head", sure=False)
+        raise AttemptFailed(
+            f"target {name}: status {head.status}", "wrong-head", not_executed=False
+        )
     return _check_head(exchange, choice, order, stream)
 
 
@@ -187,11 +191,11 @@
     except ExternalSystemError as error:
         # The circuit breaker counts a probe as in flight until its outcome is recorded.
         exchange.runtime.board.failed(name)
-        raise TryFailed(f"target {name}: {error}", "wrong-head", sure=False) from None
+        raise AttemptFailed(f"target {name}: {error}", "wrong-head", not_executed=False) from None
     if (head.version, head.customer) != (order.version, order.customer):
         exchange.runtime.board.failed(name)
         detail = f"target {name}: ran version {head.version!r} for {head.customer!r}"
-        raise TryFailed(detail, "wrong-head", sure=False)
+        raise AttemptFailed(detail, "wrong-head", not_executed=False)
     exchange.runtime.board.succeeded(name)
     return head
 
--- a/packages/node/src/fielddrift_node/settle.py
+++ b/packages/node/src/fielddrift_node/settle.py
@@ -1,4 +1,4 @@
-"""Settle a request that got no answer: its state, and its claim."""
+"""Record the outcome of a request without an answer: its state, and its claim."""
 
 from __future__ import annotations
 
@@ -11,35 +11,39 @@
 __all__ = [
     "ATTEMPT_HEADER",
     "KEY_HEADER",
-    "TryFailed",
-    "begin",
+    "AttemptFailed",
+    "qualify_not_run",
     "settle_refused",
-    "truthful",
+    "start_request",
 ]
 
 KEY_HEADER = "Idempotency-Key"
 ATTEMPT_HEADER = "Fielddrift-Attempt"
 
-_WRONG_IN_ITSELF = (ErrorKind.BAD_REQUEST, ErrorKind.TOO_LARGE, ErrorKind.KEY_REUSED)
+_INVALID_REQUEST_KINDS = (ErrorKind.BAD_REQUEST, ErrorKind.TOO_LARGE, ErrorKind.KEY_REUSED)
 
 
-class TryFailed(Exception):
-    """One try that gave no answer; `sure` when it surely did not run."""
+class AttemptFailed(Exception):
+    """An attempt ended without an answer.
 
-    def __init__(self, detail: str, reason: str, *, sure: bool) -> None:
+    `reason` is a label for metrics; `not_executed` is true only if the target certainly did
+    not run the request.
+    """
+
+    def __init__(self, detail: str, reason: str, *, not_executed: bool) -> None:
         super().__init__(detail)
         self.reason = reason
-        self.sure = sure
+        self.not_executed = not_executed
 
 
-def truthful(refusal: Refusal, headers: Mapping[str, str]) -> Refusal:
-    """Say "not run" of a keyed request only when no earlier sending can have run.
+def qualify_not_run(refusal: Refusal, headers: Mapping[str, str]) -> Refusal:
+    """Return `refusal`, as "unknown" if an earlier send of a keyed request may have run.
 
-    Before the claim was read, only the caller knows whether the key was sent
-    before; `Fielddrift-Attempt: 1` says that it was not.  What the request
-    itself is wrong for, any earlier sending was refused for as well.
+    Until the claim is read, only the caller knows whether the key was sent before;
+    `Fielddrift-Attempt: 1` states that it was not.  An invalid request stays "not run", because
+    any earlier send of it was refused too.
     """
-    if refusal.ran is not Ran.NO or refusal.kind in _WRONG_IN_ITSELF:
+    if refusal.ran is not Ran.NO or refusal.kind in _INVALID_REQUEST_KINDS:
         return refusal
     if KEY_HEADER not in headers or headers.get(ATTEMPT_HEADER) == "1":
         return refusal
@@ -47,10 +51,10 @@
     return refusal._replace(ran=Ran.UNKNOWN, detail=detail)
 
 
-def begin(exchange: Exchange) -> Refusal | None:
-    """Allow the first send of a request, or refuse it while it surely has not run.
+def start_request(exchange: Exchange) -> Refusal | None:
+    """Mark a request as running before its first send, or return the refusal of it.
 
-    A process that was paused may come here long after the deadline.
+    The deadline is checked again, because a paused process may resume here long after it.
     """
     runtime = exchange.runtime
     refusal = None
@@ -68,7 +72,7 @@
 
 
 def settle_refused(exchange: Exchange, refusal: Refusal) -> None:
-    """Note how a refused request ended; free its key if it surely did not run."""
+    """Record the outcome of a refused request; release its key if it certainly did not run."""
     runtime = exchange.runtime
     state = "not-run" if refusal.ran is Ran.NO else "unknown"
     runtime.requests.note(exchange.request_id, exchange.customer.name, state)
--- a/packages/node/src/fielddrift_node/sightings.py
+++ b/packages/node/src/fielddrift_node/sightings.py
@@ -1,9 +1,8 @@
-"""Tell the other nodes of a model what was just sent, so that all choose alike.
+"""Report sends to the other nodes of a model, so that all nodes choose with the same data.
 
-Datagrams carry what a node sent to which target, what it imports over which
-link, and what load the target's answer told.  They may be lost, late or
-doubled: they steer choices and nothing else.  Each carries a keyed digest;
-what does not match is dropped.
+Datagrams carry which runs a node sent to which target, what it imports over which link, and
+the load that the target reported.  They may be lost, late or duplicated, so they affect only
+the choice of targets.  Each carries a keyed digest; datagrams that do not match are dropped.
 """
 
 from __future__ import annotations
@@ -22,21 +21,21 @@
 from .log import get
 from .metrics import Metrics
 
-__all__ = ["IP_UDP_BYTES", "Ended", "Head", "Sent", "Sighting", "Sightings", "short"]
+__all__ = ["IP_UDP_BYTES", "Ended", "Head", "Sent", "Sighting", "Sightings", "short_hash"]
 
-GATHER_SECONDS = 0.005
-BYTES_A_SECOND = 8000.0
-_LONGEST_DATAGRAM = 1400
+BATCH_SECONDS = 0.005
+BYTES_PER_SECOND = 8000.0
+_MAX_DATAGRAM_BYTES = 1400
 _DIGEST_BYTES = 8
 IP_UDP_BYTES = 28
-_OLDEST_SECONDS = 5.0
+_MAX_AGE_SECONDS = 5.0
 
 
 class Sent(NamedTuple):
-    """A run went out: to whom, how much to compute, what is imported on the way.
+    """A run was sent: to which target, the tokens to compute, and the import from a store.
 
-    `run` and `prompt` are short numbers drawn from longer names by `short`;
-    the target will have the prompt's `blocks` in memory.
+    `run` and `prompt` are hashes of longer names by `short_hash`; afterwards the target has the
+    prompt's `blocks` in memory.
     """
 
     target: str
@@ -49,7 +48,7 @@
 
 
 class Head(NamedTuple):
-    """A run's first token came; with the load that the target's answer told.
+    """A run's first token arrived; with the load that the target reported.
 
     `root` is the target's own name for the prompt, as in its cache events;
     `import_seconds` is below 0 when nothing was imported.
@@ -68,7 +67,7 @@
 
 
 class Ended(NamedTuple):
-    """A run came to nothing before its first token."""
+    """A run ended before its first token."""
 
     target: str
     run: int
@@ -85,8 +84,8 @@
     sightings: list[tuple[int, list[object]]]
 
 
-class _Budget:
-    """Let so many bytes a second through, with two seconds' worth saved up at most."""
+class _TokenBucket:
+    """A token bucket of `rate` bytes per second that holds at most two seconds' worth."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
@@ -103,17 +102,17 @@
         return True
 
 
-def short(name: str) -> int:
-    """Return a number of 32 bits for a long name; two names may share one."""
+def short_hash(name: str) -> int:
+    """Return a 32-bit hash of `name`; hashes of different names may collide."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 class Sightings:
     """Send and receive sightings over UDP, on the peers' address.
 
-    `audience` gives the addresses of the nodes that should hear about a
-    model; `take` takes a sighting in.  Beyond `bytes_a_second` sightings are
-    left out: choices get worse, the control traffic stays bounded.
+    `audience` returns the addresses of the nodes that receive the sightings of a model;
+    `on_receive` is called with each sighting received.  Sightings beyond `bytes_per_second` are not
+    sent: choices get worse, but the control traffic stays bounded.
     """
 
     def __init__(
@@ -122,49 +121,49 @@
         address: str,
         key: str,
         audience: Callable[[str], Iterable[str]],
-        take: Callable[[Sighting], None],
+        on_receive: Callable[[Sighting], None],
         metrics: Metrics,
-        bytes_a_second: float = BYTES_A_SECOND,
+        bytes_per_second: float = BYTES_PER_SECOND,
     ) -> None:
         self._key = hashlib.sha256(key.encode()).digest()
         self._audience = audience
-        self._take = take
+        self._on_receive = on_receive
         self._metrics = metrics
-        self._budget = _Budget(bytes_a_second)
+        self._budget = _TokenBucket(bytes_per_second)
         self._waiting: dict[str, list[Sighting]] = {}
-        self._changed = threading.Condition()
+        self._condition = threading.Condition()
         self._stopped = False
         host, _, port = address.rpartition(":")
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((host, int(port)))
-        for work in (self._send_rounds, self._receive):
+        for work in (self._send_batches, self._receive):
             threading.Thread(target=work, name="sightings", daemon=True).start()
 
-    def tell(self, model: str, sighting: Sighting) -> None:
-        """Tell the nodes of a model, in a few milliseconds."""
-        with self._changed:
+    def send(self, model: str, sighting: Sighting) -> None:
+        """Queue a sighting for the nodes of a model; it is sent within a few milliseconds."""
+        with self._condition:
             self._waiting.setdefault(model, []).append(sighting)
-            self._changed.notify()
+            self._condition.notify()
 
     def close(self) -> None:
         """Stop sending and receiving."""
-        with self._changed:
+        with self._condition:
             self._stopped = True
-            self._changed.notify()
+            self._condition.notify()
         self._socket.close()
 
     # --- sending -----------------------------------------------------------
 
-    def _send_rounds(self) -> None:
+    def _send_batches(self) -> None:
         while True:
-            with self._changed:
-                self._changed.wait_for(lambda: self._waiting or self._stopped)
+            with self._condition:
+                self._condition.wait_for(lambda: self._waiting or self._stopped)
                 if self._stopped:
                     return
                 waiting, self._waiting = self._waiting, {}
             for model, sightings in waiting.items():
                 self._send(model, sightings)
-            time.sleep(GATHER_SECONDS)
+            time.sleep(BATCH_SECONDS)
 
     def _send(self, model: str, sightings: list[Sighting]) -> None:
         peers = list(self._audience(model))
@@ -181,11 +180,11 @@
                 self._metrics.add("sightings.bytes", len(data) + IP_UDP_BYTES)
 
     def pack(self, sightings: list[Sighting]) -> list[bytes]:
-        """Return datagrams that carry `sightings`, each within the size of a packet."""
+        """Return datagrams that carry `sightings`, split so that each fits into a packet."""
         body = msgspec.msgpack.encode(
             _Datagram(time.time(), [(_KINDS.index(type(s)), list(s)) for s in sightings])
         )
-        if len(body) + _DIGEST_BYTES > _LONGEST_DATAGRAM and len(sightings) > 1:
+        if len(body) + _DIGEST_BYTES > _MAX_DATAGRAM_BYTES and len(sightings) > 1:
             half = len(sightings) // 2
             return [*self.pack(sightings[:half]), *self.pack(sightings[half:])]
         return [self._digest(body) + body]
@@ -203,29 +202,29 @@
                 return
             try:
                 for sighting in self.unpack(data):
-                    self._take(sighting)
+                    self._on_receive(sighting)
             except (ValueError, TypeError) as error:
                 self._metrics.add("sightings.dropped")
                 get().info("sighting dropped", sender=sender[0], error=str(error))
             except Exception:
-                # One that cannot be taken must not end the hearing of all others.
+                # A sighting that cannot be applied must not end the receiving thread.
                 get().exception("sighting not taken", sender=sender[0])
 
     def unpack(self, data: bytes) -> list[Sighting]:
-        """Return the sightings in a datagram; raise ValueError when it is not one of ours.
+        """Return the sightings in a datagram; raise ValueError when it is not valid.
 
-        Those that are older than a few seconds are left out: a process that
-        was paused finds them in its socket when it wakes up.
+        The result is empty when the datagram is older than a few seconds: a process that was
+        paused finds such datagrams in its socket buffer when it resumes.
         """
         digest, body = data[:_DIGEST_BYTES], data[_DIGEST_BYTES:]
         if not hmac.compare_digest(digest, self._digest(body)):
             raise ValueError("keyed digest: does not match")
         datagram = msgspec.msgpack.decode(body, type=_Datagram)
-        if abs(time.time() - datagram.at) > _OLDEST_SECONDS:
+        if abs(time.time() - datagram.at) > _MAX_AGE_SECONDS:
             return []
-        return [self._one(kind, fields) for kind, fields in datagram.sightings]
+        return [self._decode(kind, fields) for kind, fields in datagram.sightings]
 
-    def _one(self, kind: int, fields: list[object]) -> Sighting:
+    def _decode(self, kind: int, fields: list[object]) -> Sighting:
         if not 0 <= kind < len(_KINDS):
             raise ValueError(f"kind of sighting: {kind}, expected 0 to {len(_KINDS) - 1}")
         sighting: Sighting = msgspec.convert(fields, _KINDS[kind])
--- a/packages/node/src/fielddrift_node/underway.py
+++ b/packages/node/src/fielddrift_node/underway.py
@@ -10,7 +10,7 @@
 from .board import HINT_DIGITS
 from .exchange import Exchange
 from .runtime import Runtime
-from .sightings import Ended, Head, Sent, Sighting, short
+from .sightings import Ended, Head, Sent, Sighting, short_hash
 from .targets import EngineHead, RunOrder
 
 __all__ = ["RunInFlight", "apply_sighting"]
@@ -38,7 +38,7 @@
             runtime=runtime,
             model=order.model,
             target=choice.target.name,
-            run=short(order.run),
+            run=short_hash(order.run),
             digest=digest,
             blocks=len(exchange.digests),
             store=store,
--- a/tests/test_left_behind.py
+++ b/tests/test_left_behind.py
@@ -26,7 +26,7 @@
 from fielddrift_node.filters import run as run_filter
 from fielddrift_node.metrics import Metrics
 from fielddrift_node.servers import ApplicationServer
-from fielddrift_node.settle import TryFailed
+from fielddrift_node.settle import AttemptFailed
 from fielddrift_node.watch import Watch
 
 from .fakes import FakeObjects, FakeTable
@@ -172,7 +172,7 @@
         choice, stream = SimpleNamespace(target=target), mock.MagicMock()
         with (
             mock.patch.object(run_filter, "read_head", side_effect=ExternalSystemError("no head")),
-            self.assertRaises(TryFailed),
+            self.assertRaises(AttemptFailed),
         ):
             run_filter._check_head(exchange, choice, mock.Mock(), stream)  # type: ignore[arg-type]
         board.ended("e1", "r.1.1")
--- a/tests/test_sightings.py
+++ b/tests/test_sightings.py
@@ -7,14 +7,16 @@
 from unittest import mock
 
 from fielddrift_node.metrics import Metrics
-from fielddrift_node.sightings import Ended, Head, Sent, Sighting, Sightings, short
+from fielddrift_node.sightings import Ended, Head, Sent, Sighting, Sightings, short_hash
 from fielddrift_standins.fleet import free_port
 
 from .fleets import CUSTOMER, FleetTest
 
-SENT = Sent("engine-0", short("run"), 8000, 2**63 + 5, 32, "archivio-rose", 120_000)
-HEAD = Head("engine-0", short("run"), 3, 1, 9000, 2**63 + 5, 32, "ab" * 8, "archivio-rose", 0.25)
-ENDED = Ended("engine-0", short("run"))
+SENT = Sent("engine-0", short_hash("run"), 8000, 2**63 + 5, 32, "archivio-rose", 120_000)
+HEAD = Head(
+    "engine-0", short_hash("run"), 3, 1, 9000, 2**63 + 5, 32, "ab" * 8, "archivio-rose", 0.25
+)
+ENDED = Ended("engine-0", short_hash("run"))
 
 
 class SightingsTest(unittest.TestCase):
@@ -28,7 +30,7 @@
             address=self.address,
             key=key,
             audience=lambda model: peers or [],
-            take=lambda sighting: self._take(sighting),
+            on_receive=lambda sighting: self._take(sighting),
             metrics=Metrics(address=""),
             **options,
         )
@@ -42,7 +44,7 @@
     def test_what_is_told_arrives(self) -> None:
         self._start()
         teller = self._start_teller([self.address])
-        teller.tell("m", SENT)
+        teller.send("m", SENT)
         self.assertTrue(self.heard.wait(5))
         self.assertEqual(self.taken[0], SENT)
 
@@ -57,9 +59,9 @@
         self._start()
         teller = self._start_teller([self.address])
         with mock.patch.object(self, "_take", side_effect=AttributeError):
-            teller.tell("m", SENT)
+            teller.send("m", SENT)
             threading.Event().wait(0.2)
-        teller.tell("m", HEAD)
+        teller.send("m", HEAD)
         self.assertTrue(self.heard.wait(5))
         self.assertEqual(self.taken, [HEAD])
 
@@ -83,10 +85,10 @@
             with self.assertRaisesRegex(ValueError, "keyed digest"):
                 one.unpack(bad)
 
-    def test_beyond_its_bytes_a_second_nothing_is_sent(self) -> None:
+    def test_beyond_its_bytes_per_second_nothing_is_sent(self) -> None:
         self._start()
-        teller = self._start_teller([self.address], bytes_a_second=20.0)
-        teller.tell("m", HEAD)
+        teller = self._start_teller([self.address], bytes_per_second=20.0)
+        teller.send("m", HEAD)
         self.assertFalse(self.heard.wait(0.3))
 
     def test_old_ones_are_left_out(self) -> None:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -14,7 +14,7 @@
 from fielddrift_node.filters import run
 from fielddrift_node.metrics import Metrics
 from fielddrift_node.relay import Relay
-from fielddrift_node.settle import TryFailed
+from fielddrift_node.settle import AttemptFailed
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from structlog.testing import capture_logs
@@ -186,7 +186,7 @@
         self.exchange.choice.target.name, self.exchange.left = "e1", -1.0
         self.exchange.runtime.rng = random.Random(1)
         self.exchange.held_back.return_value = None
-        failure = TryFailed("e1: refused", "connect", sure=True)
+        failure = AttemptFailed("e1: refused", "connect", not_executed=True)
         with mock.patch.object(run, "_start_once", side_effect=failure), capture_logs() as lines:
             run._resume(self.exchange, 3)
         expected = {
