--- a/packages/node/src/fielddrift_node/claims.py
+++ b/packages/node/src/fielddrift_node/claims.py
@@ -100,7 +100,7 @@
         self._registry = AttemptRegistry()
         self._lock = threading.Lock()
         self._breaker = CircuitBreaker(max_open_seconds=_MAX_TABLE_OPEN_SECONDS)
-        self._inbox: queue.SimpleQueue[_Pending | None] = queue.SimpleQueue()
+        self._write_queue: queue.SimpleQueue[_Pending | None] = queue.SimpleQueue()
         self._unsettled: dict[str, _UnsettledClaim] = {}
         self._stopped = threading.Event()
         self._threads = [
@@ -113,7 +113,7 @@
     def close(self) -> None:
         """Stop the threads after one last attempt to write the outstanding outcomes."""
         self._stopped.set()
-        self._inbox.put(None)
+        self._write_queue.put(None)
         self._settle_older_than(age=0.0)
 
     # --- for requests ------------------------------------------------------
@@ -232,21 +232,21 @@
 
     def _submit(self, write: Write) -> Row:
         pending = _Pending(write, Future())
-        self._inbox.put(pending)
+        self._write_queue.put(pending)
         return pending.done.result(timeout=self._timeout)
 
     def _finish(self, claim: Claim, row: ClaimRow) -> None:
         self._mark_unsettled(row)
         key = claim_key(row.customer, row.key)
-        self._inbox.put(_Pending(Write(key, _encode(row), expect=claim.version), Future()))
+        self._write_queue.put(_Pending(Write(key, _encode(row), expect=claim.version), Future()))
 
     def _group_writes(self) -> None:
-        while (first := self._inbox.get()) is not None:
+        while (first := self._write_queue.get()) is not None:
             group = [first]
             until = clock.now() + self._group_seconds
             while len(group) < _MAX_GROUP_WRITES and (left := until - clock.now()) > 0:
                 try:
-                    pending = self._inbox.get(timeout=left)
+                    pending = self._write_queue.get(timeout=left)
                 except queue.Empty:
                     break
                 if pending is None:
