--- a/packages/node/src/fielddrift_node/callers.py
+++ b/packages/node/src/fielddrift_node/callers.py
@@ -148,17 +148,17 @@
     def _run(
         self, request: Request, request_id: str, path: dict[str, str], filters: tuple[Filter, ...]
     ) -> Response:
-        places = self._runtime.places
-        if not places.take():
+        slots = self._runtime.request_slots
+        if not slots.acquire():
             detail = "this node has reached its limit of concurrent requests"
             refusal = Refusal(ErrorKind.OVERLOADED, detail, Ran.NO, 0.5)
             return self._refuse(qualify_not_run(refusal, dict(request.headers)), request_id)
         try:
             response = self._run_filters(request, request_id, path, filters)
         except BaseException:
-            places.give_back()
+            slots.release()
             raise
-        response.call_on_close(places.give_back)
+        response.call_on_close(slots.release)
         return response
 
     def _run_filters(
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -35,7 +35,7 @@
 from .outside import HttpHostList, HttpObjectStore, HttpTable
 from .peers import Peers
 from .queries import Nodes
-from .runtime import Links, Places, RequestLog, Runtime
+from .runtime import Links, RequestLog, RequestSlots, Runtime
 from .servers import ApplicationServer
 from .settings import Settings
 from .sightings import Sightings
@@ -152,11 +152,11 @@
             rng=rng,
             pool=self._pool,
             exporter=self._exporter,
-            tell=lambda model, sighting: self._sightings.send(model, sighting),
+            send_sighting=lambda model, sighting: self._sightings.send(model, sighting),
             tickets=Tickets(key=self._settings["keys"]["peer"]),
-            places=Places(limit=self._settings["limits"]["requests"]),
+            request_slots=RequestSlots(limit=self._settings["limits"]["requests"]),
             leaving=self._cluster.leaving,
-            heard_headers=self._apply_headers,
+            handle_target_headers=self._apply_headers,
         )
 
     def _build_sightings(self) -> Sightings:
@@ -289,7 +289,7 @@
     # --- periodic tasks ----------------------------------------------------
 
     def _tick(self) -> None:
-        self._metrics.gauge("requests.open", self._runtime.places.taken)
+        self._metrics.gauge("requests.open", self._runtime.request_slots.taken)
         if self._runtime.watch.tick():
             self._metrics.add("pauses")
             get().warning("this process was paused")
--- a/packages/node/src/fielddrift_node/exchange.py
+++ b/packages/node/src/fielddrift_node/exchange.py
@@ -1,4 +1,4 @@
-"""Carry one caller's request through the filters."""
+"""The state of one request while the filters process it."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from .runtime import Runtime
 from .stores import Found
 
-__all__ = ["Answer", "CompletionAsk", "Exchange", "Filter", "ServiceAsk", "run_filters"]
+__all__ = ["Answer", "CompletionRequest", "Exchange", "Filter", "ServiceRequest", "run_filters"]
 
 
-class CompletionAsk(NamedTuple):
-    """A checked request for a completion."""
+class CompletionRequest(NamedTuple):
+    """A validated request for a completion."""
 
     model: str
     prompt: str
@@ -33,8 +33,8 @@
     priority: int
 
 
-class ServiceAsk(NamedTuple):
-    """A checked service call."""
+class ServiceRequest(NamedTuple):
+    """A validated service call."""
 
     service: str
     method: str
@@ -45,7 +45,7 @@
 
 
 class Answer(NamedTuple):
-    """What the caller gets; `body` may still be on its way."""
+    """The response to the caller; `body` is an iterable if it is streamed."""
 
     status: int
     content_type: str
@@ -54,7 +54,7 @@
 
 
 class Exchange:
-    """One request on its way; each filter fills in what the next ones need."""
+    """One request and its state; each filter sets the fields that later filters need."""
 
     def __init__(
         self, *, runtime: Runtime, request: Request, request_id: str, path: Mapping[str, str]
@@ -69,8 +69,8 @@
         self.repeatable = True
         self.configuration = Configuration()
         self.customer = Customer("", (), "")
-        self.completion: CompletionAsk | None = None
-        self.call: ServiceAsk | None = None
+        self.completion: CompletionRequest | None = None
+        self.call: ServiceRequest | None = None
         self.deployment = Deployment("", "")
         self.targets: tuple[Target, ...] = ()
         self.digests: list[str] = []
@@ -80,41 +80,42 @@
         self.claim: Claim | None = None
         self.failed: set[str] = set()
         self.life = ""
-        """The life of the target of the last send, as far as it is known."""
+        """Process instance of the target of the last send, as far as it is known."""
         self.sent_at = 0.0
-        """When it went out, on the clock of `clock.now`."""
+        """Time of the last send, from `clock.now`."""
         self.answer: Answer | None = None
 
     @property
     def left(self) -> float:
-        """Return the seconds left to the deadline."""
+        """Return the seconds left until the deadline."""
         return self.deadline - clock.now()
 
     def held_back(self, *, sending: bool = False, sure: bool = True) -> Refusal | None:
-        """Return the refusal of a request that is held back, as `CrashDesk.check` tells it."""
+        """Return the refusal if this request is held back, else None (see `CrashDesk.check`)."""
         crashes = self.runtime.crashes
-        # Nearly always nothing is, and a long prompt takes some time to digest.
+        # Skips the fingerprint, which is slow for a long prompt, if there are no crash records.
         if crashes.is_empty:
             return None
         return crashes.check(self.fingerprint, sending=sending, sure=sure)
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what all tries of the same request have in common: caller, place and body.
+        """Return the fingerprint that all attempts at the same request share.
 
-        Its key is none of it: who tries again under another key asks the same.
+        It covers the customer and all fields of the request, but not the idempotency key:
+        a retry under another key has the same fingerprint.
         """
         fields = self.call or self.completion or ()
         asked = (field if isinstance(field, bytes) else repr(field).encode() for field in fields)
         return fingerprint((self.customer.name.encode(), *asked))
 
     def begin_send(self, target: Target) -> None:
-        """Note a send that is about to go out."""
+        """Record the process instance of the target and the time, just before a send."""
         self.life = self.runtime.crashes.life(target.name, self.runtime.board.epoch(target.name))
         self.sent_at = clock.now()
 
-    def broke_off(self, target: Target, error: ExternalSystemError) -> None:
-        """Tell whoever watches for requests that end their targets how the last send failed."""
+    def record_send_failure(self, target: Target, error: ExternalSystemError) -> None:
+        """Report the failure of the last send to the crash records."""
         crashes = self.runtime.crashes
         if error.broken and not target.draining and not self.runtime.leaving(target.name):
             now = clock.now()
@@ -125,7 +126,7 @@
             crashes.refused(self.life)
 
     def answered(self) -> None:
-        """Tell them that the target of the last send answered whole."""
+        """Report to the crash records that the target answered the last send in full."""
         if not self.runtime.crashes.is_empty:
             self.runtime.crashes.answered(self.fingerprint, self.life, self.sent_at)
 
@@ -134,7 +135,10 @@
 
 
 def run_filters(exchange: Exchange, filters: tuple[Filter, ...]) -> Result[Exchange, Refusal]:
-    """Pass `exchange` through `filters` until one refuses or all are done."""
+    """Apply `filters` in order until one refuses the request or sets the answer.
+
+    Return the result of the last filter applied.
+    """
     outcome: Result[Exchange, Refusal]
     for step in filters:
         outcome = step(exchange)
--- a/packages/node/src/fielddrift_node/filters/call.py
+++ b/packages/node/src/fielddrift_node/filters/call.py
@@ -87,12 +87,12 @@
         reply = runtime.targets.call(target, _build_call(exchange, target))
     except ExternalSystemError as error:
         runtime.board.failed(target.name)
-        exchange.broke_off(target, error)
+        exchange.record_send_failure(target, error)
         reason = "connect" if error.not_executed else "cut-before-head"
         raise AttemptFailed(str(error), reason, not_executed=error.not_executed) from None
     finally:
         runtime.board.ended(target.name, exchange.request_id)
-    runtime.heard_headers(target.name, reply.headers)
+    runtime.handle_target_headers(target.name, reply.headers)
     runtime.board.succeeded(target.name)
     if proved_not_started(reply):
         runtime.board.record_pause(target.name, pause_seconds(reply))
--- a/packages/node/src/fielddrift_node/filters/parse.py
+++ b/packages/node/src/fielddrift_node/filters/parse.py
@@ -12,7 +12,7 @@
 from werkzeug.wrappers import Request
 
 from .. import clock
-from ..exchange import CompletionAsk, Exchange, ServiceAsk
+from ..exchange import CompletionRequest, Exchange, ServiceRequest
 from ..settle import KEY_HEADER
 
 __all__ = ["parse_completion", "parse_service"]
@@ -62,7 +62,7 @@
         )
     except _InvalidRequest as error:
         return Err(error.refusal)
-    exchange.completion = CompletionAsk(*msgspec.structs.astuple(body))
+    exchange.completion = CompletionRequest(*msgspec.structs.astuple(body))
     return Ok(exchange)
 
 
@@ -74,7 +74,7 @@
         _parse_headers(exchange)
     except _InvalidRequest as error:
         return Err(error.refusal)
-    exchange.call = ServiceAsk(
+    exchange.call = ServiceRequest(
         service=exchange.path["name"],
         method=request.method,
         path=exchange.path["path"],
--- a/packages/node/src/fielddrift_node/filters/run.py
+++ b/packages/node/src/fielddrift_node/filters/run.py
@@ -151,10 +151,10 @@
         ) from None
     except ExternalSystemError as error:
         runtime.board.failed(name)
-        exchange.broke_off(choice.target, error)
+        exchange.record_send_failure(choice.target, error)
         reason = "connect" if error.not_executed else "cut-before-head"
         raise AttemptFailed(str(error), reason, not_executed=error.not_executed) from None
-    runtime.heard_headers(name, head.headers)
+    runtime.handle_target_headers(name, head.headers)
     if proved_not_started(head):
         runtime.board.succeeded(name)
         runtime.board.record_pause(name, pause_seconds(head))
--- a/packages/node/src/fielddrift_node/relay.py
+++ b/packages/node/src/fielddrift_node/relay.py
@@ -112,7 +112,7 @@
             # The error for wrong events quotes their text, which must not be logged.
             self._reason = "cut" if isinstance(error, ExternalSystemError) else "wrong-events"
             if isinstance(error, ExternalSystemError):
-                self._exchange.broke_off(self._started.choice.target, error)
+                self._exchange.record_send_failure(self._started.choice.target, error)
         else:
             self._fault = "the stream ended without its end mark"
             self._reason = "no-end-mark"
--- a/packages/node/src/fielddrift_node/runtime.py
+++ b/packages/node/src/fielddrift_node/runtime.py
@@ -1,4 +1,4 @@
-"""Gather what the filters of one node work with."""
+"""Shared state and services of one node, for the filters that handle its requests."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
 from .tickets import Tickets
 from .watch import Watch
 
-__all__ = ["Links", "Places", "RequestLog", "Runtime"]
+__all__ = ["Links", "RequestLog", "RequestSlots", "Runtime"]
 
-_MOST_REQUESTS = 10_000
+_MAX_REQUESTS = 10_000
 
 
 class RequestLog:
-    """Remember the state of this node's latest requests, by their ids."""
+    """Keep the states of this node's latest requests by request id.  Thread-safe."""
 
     def __init__(self) -> None:
         self._states: OrderedDict[str, tuple[str, str]] = OrderedDict()
         self._lock = threading.Lock()
 
     def note(self, request_id: str, customer: str, state: str) -> None:
-        """Note a request's state: running, ran, not-run or unknown."""
+        """Record the state of a request: running, ran, not-run or unknown."""
         with self._lock:
             self._states[request_id] = (customer, state)
             self._states.move_to_end(request_id)
-            while len(self._states) > _MOST_REQUESTS:
+            while len(self._states) > _MAX_REQUESTS:
                 self._states.popitem(last=False)
 
     def state(self, request_id: str, customer: str) -> str:
-        """Return a request's state, unknown when it is another customer's."""
+        """Return the state of a request; unknown if it is not kept or is another customer's."""
         with self._lock:
             owner, state = self._states.get(request_id, ("", "unknown"))
         return state if owner == customer else "unknown"
 
     def running(self) -> int:
-        """Return how many requests are running."""
+        """Return the number of running requests."""
         with self._lock:
             return sum(state == "running" for _, state in self._states.values())
 
 
 class Links:
-    """Keep one `Link` per store host.  Safe for threads."""
+    """Keep one `Link` per store host.  Thread-safe."""
 
     def __init__(self, *, clock: Callable[[], float] = clock.now) -> None:
         self._clock = clock
@@ -69,22 +69,22 @@
         self._lock = threading.Lock()
 
     def import_seconds(self, store: StoreHost, size: int) -> float:
-        """Return how long an import would take from now."""
+        """Return the estimated seconds that an import of `size` bytes takes if it starts now."""
         with self._lock:
             return self._link(store).import_seconds(size, self._clock())
 
     def begin_import(self, store: StoreHost, run: int, size: int) -> None:
-        """Count the import of a run as under way."""
+        """Record the start of an import of `size` bytes for a run."""
         with self._lock:
             self._link(store).begin_import(run, size, self._clock())
 
     def end_import(self, store: StoreHost, run: int, seconds: float | None) -> None:
-        """Count the import of a run as ended after `seconds`, None when it failed."""
+        """Record the end of a run's import after `seconds`, or None if it failed."""
         with self._lock:
             self._link(store).end_import(run, self._clock(), seconds)
 
     def begin_export(self, store: StoreHost, size: int) -> bool:
-        """Count an export as under way; False when imports leave no room."""
+        """Record the start of an export; return False if imports leave no capacity for it."""
         with self._lock:
             link = self._link(store)
             if not link.may_export(self._clock()):
@@ -93,7 +93,7 @@
             return True
 
     def end_export(self, store: StoreHost, size: int) -> None:
-        """Count an export as ended."""
+        """Record the end of an export."""
         with self._lock:
             self._link(store).end_export(size)
 
@@ -101,8 +101,11 @@
         return self._links.setdefault(store.name, Link(rate=store.link_rate))
 
 
-class Places:
-    """Bound the requests in progress, so that none waits for a thread unseen."""
+class RequestSlots:
+    """Limit the requests in progress, so that none queues for a thread without being counted.
+
+    Thread-safe.
+    """
 
     def __init__(self, *, limit: int) -> None:
         self._limit = limit
@@ -111,25 +114,25 @@
 
     @property
     def taken(self) -> int:
-        """Return how many places are taken."""
+        """Return the number of slots in use."""
         return self._taken
 
-    def take(self) -> bool:
-        """Take a place; False when all are taken."""
+    def acquire(self) -> bool:
+        """Acquire a slot; return False if all are in use."""
         with self._lock:
             if self._taken >= self._limit:
                 return False
             self._taken += 1
             return True
 
-    def give_back(self) -> None:
-        """Give a place back."""
+    def release(self) -> None:
+        """Release a slot."""
         with self._lock:
             self._taken -= 1
 
 
 class Runtime(NamedTuple):
-    """Everything that a request may use; built once by the daemon."""
+    """Everything that a request may use; the daemon creates it once."""
 
     settings: Settings
     metrics: Metrics
@@ -148,8 +151,8 @@
     rng: random.Random
     pool: ThreadPoolExecutor
     exporter: Exporter
-    places: Places
+    request_slots: RequestSlots
     tickets: Tickets
-    tell: Callable[[str, Sighting], None]
+    send_sighting: Callable[[str, Sighting], None]
     leaving: Callable[[str], bool]
-    heard_headers: Callable[[str, Mapping[str, str]], None]
+    handle_target_headers: Callable[[str, Mapping[str, str]], None]
--- a/packages/node/src/fielddrift_node/underway.py
+++ b/packages/node/src/fielddrift_node/underway.py
@@ -95,7 +95,7 @@
             self.runtime.links.end_import(self.store, self.run, seconds)
 
     def _publish(self, sighting: Sighting) -> None:
-        self.runtime.tell(self.model, sighting)
+        self.runtime.send_sighting(self.model, sighting)
 
 
 def apply_sighting(runtime: Runtime, sighting: Sighting) -> None:
--- a/packages/node/src/fielddrift_node/watch.py
+++ b/packages/node/src/fielddrift_node/watch.py
@@ -1,7 +1,7 @@
-"""Notice when this process was paused, and when it is stopping.
+"""Detect that this process was paused, and keep its stop state.
 
-After a pause (a frozen host, a stopped process) what the node knows is old:
-before it takes new requests it must hear from a peer or the table once more.
+After a pause (a suspended host, a stopped process) the node's configuration is
+stale: before it accepts new requests, it asks the table or a peer once.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Watch:
-    """Tell whether new requests may be taken.  Safe for threads.
+    """Track whether the node may accept new requests.  Thread-safe.
 
-    `refresh` brings the configuration up to date; it returns False when
-    neither the table nor a peer answered.
+    `refresh` updates the configuration from the table or a peer; it returns
+    False if neither answered.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
 
     @property
     def refusing(self) -> bool:
-        """Return whether new requests are refused, because the stop is near."""
+        """Return whether new requests are refused, as they are shortly before the stop."""
         return self._refuse.is_set()
 
     def leave(self) -> None:
@@ -52,7 +52,7 @@
         self._refuse.set()
 
     def tick(self) -> bool:
-        """Note that the process runs; return whether it had been paused."""
+        """Record that the process runs; return whether it was paused since the last record."""
         now = self._clock()
         paused = now - self._seen_at > PAUSE_SECONDS
         if paused:
@@ -61,21 +61,21 @@
         return paused
 
     def ensure_fresh(self) -> None:
-        """After a pause, catch up once before anything new is taken.
+        """Refresh the configuration if the process was paused since the last refresh.
 
-        When nobody answers, what is known goes on being used: serving needs
-        no table.
+        If neither the table nor a peer answers, the node continues with the
+        configuration that it has: it can serve without the table.
         """
         self.tick()
         if not self._stale():
             return
         with self._refreshing:
             while self._stale():
-                # What was read before a pause during the refresh is old, so its beginning counts.
+                # Uses the start time, since a pause during the refresh makes its result stale.
                 began = self._clock()
                 self._refresh()
                 self._fresh_since = began
 
     def _stale(self) -> bool:
-        """Return whether what is known was read before the last pause."""
+        """Return whether the last refresh began before the last pause."""
         return self._paused_at > self._fresh_since
