--- a/packages/node/src/fielddrift_node/__init__.py
+++ b/packages/node/src/fielddrift_node/__init__.py
@@ -1,1 +1,1 @@
-"""Run fielddrift on an entry host: one daemon, the same on every host."""
+"""The fielddrift daemon, which is the same on every entry host."""
--- a/packages/node/src/fielddrift_node/main.py
+++ b/packages/node/src/fielddrift_node/main.py
@@ -1,4 +1,4 @@
-"""Start `fielddriftd`, or check its settings."""
+"""Command line of `fielddriftd`: run a node, or check its settings file."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 __all__ = ["main"]
 
-_BAD_SETTINGS = 2
-_LAST_LINES_SECONDS = 0.5
-"""How long the last log lines may take at the end."""
+_BAD_SETTINGS_EXIT_CODE = 2
+_LOG_FLUSH_SECONDS = 0.5
+"""Maximum time to write the last log lines at exit."""
 
 
 @click.group()
@@ -29,7 +29,7 @@
 @click.argument("settings", type=click.Path())
 def run(settings: str) -> None:
     """Run a node with the SETTINGS file until SIGTERM."""
-    # Where every thread stands goes to standard error on SIGABRT.
+    # Dumps the stacks of all threads to standard error on SIGABRT.
     faulthandler.enable()
     signals = StopSignals()
     checked = _load(settings)
@@ -39,16 +39,16 @@
     received = signals.wait()
     get().info("stopping", signal=received.name)
     daemon.stop()
-    sink.close(seconds=_LAST_LINES_SECONDS)
+    sink.close(seconds=_LOG_FLUSH_SECONDS)
     sys.exit(0)
 
 
 @main.command()
 @click.argument("settings", type=click.Path())
 def check(settings: str) -> None:
-    """Say what is wrong in the SETTINGS file, and where."""
+    """Check the SETTINGS file and list its faults with their paths."""
     _load(settings)
-    click.echo(f"{settings}: right")
+    click.echo(f"{settings}: valid")
 
 
 def _load(file: str) -> Settings:
@@ -56,4 +56,4 @@
         return load(file)
     except SettingsError as error:
         click.echo(str(error), err=True)
-        sys.exit(_BAD_SETTINGS)
+        sys.exit(_BAD_SETTINGS_EXIT_CODE)
--- a/packages/node/src/fielddrift_node/settings.py
+++ b/packages/node/src/fielddrift_node/settings.py
@@ -1,6 +1,6 @@
-"""Read and check a node's settings file, JSON with comments.
+"""Read and validate a node's settings file, which is JSON with comments.
 
-All faults are found at once; each names the file, the path inside it, the
+All faults are reported at once, each with the file, the path inside it, the
 value and what was expected.
 """
 
@@ -17,12 +17,12 @@
 
 __all__ = ["Fault", "Limits", "Settings", "SettingsError", "load"]
 
-_ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-_DIGEST = r"^[0-9a-f]{64}$"
+_ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
+_DIGEST_PATTERN = r"^[0-9a-f]{64}$"
 
 
 class Node(TypedDict):
-    """Where this node listens, and its data centre."""
+    """Addresses at which this node listens, and its data centre."""
 
     http: str
     peer: str
@@ -39,14 +39,14 @@
 
 
 class Keys(TypedDict):
-    """Digests of the operators' keys by name, and the key that peers share."""
+    """Digests of the operators' keys by operator name, and the key shared by all nodes."""
 
     operators: dict[str, str]
     peer: str
 
 
 class Limits(TypedDict):
-    """Bounds on what callers may ask; sizes in bytes, times in seconds."""
+    """Limits on requests and on the node's resources; sizes in bytes, times in seconds."""
 
     threads: int
     requests: int
@@ -93,18 +93,18 @@
 }
 
 _PATTERNS: Mapping[str, str] = {
-    "node.http": _ADDRESS,
-    "node.peer": _ADDRESS,
+    "node.http": _ADDRESS_PATTERN,
+    "node.peer": _ADDRESS_PATTERN,
     "node.data_centre": r"^[a-z0-9][a-z0-9-]*$",
-    "platform.table": _ADDRESS,
-    "platform.objects": _ADDRESS,
-    "platform.hosts": _ADDRESS,
-    "statsd": r"^$|" + _ADDRESS,
+    "platform.table": _ADDRESS_PATTERN,
+    "platform.objects": _ADDRESS_PATTERN,
+    "platform.hosts": _ADDRESS_PATTERN,
+    "statsd": r"^$|" + _ADDRESS_PATTERN,
     "policy": "^(cost|cost-all|random|least-loaded|sticky|always-recompute|always-import)$",
     "log_level": "^(debug|info|warning|error)$",
 }
 
-_ABOVE_ZERO = (
+_POSITIVE_PATHS = (
     "limits.threads",
     "limits.requests",
     "limits.prompt_bytes",
@@ -119,7 +119,7 @@
 
 
 class Fault(NamedTuple):
-    """One thing wrong: where, what was found, what was expected."""
+    """One fault of a settings file: its path, the value found, and what was expected."""
 
     path: str
     value: str
@@ -130,7 +130,7 @@
 
 
 class SettingsError(Exception):
-    """A settings file that cannot be used; lists all of its faults."""
+    """Raised for a settings file that is not valid; `faults` lists all of its faults."""
 
     def __init__(self, file: str, faults: list[Fault]) -> None:
         super().__init__("\n".join(f"{file}: {fault}" for fault in faults))
@@ -138,38 +138,38 @@
 
 
 def load(file: str | Path) -> Settings:
-    """Return the checked settings in `file`, defaults filled in.
+    """Return the validated settings in `file`, with defaults for missing ones.
 
-    Raise `SettingsError` when the file cannot be read or has faults.
+    Raises `SettingsError` if the file cannot be read or has faults.
     """
     try:
         raw = json5.loads(Path(file).read_text())
     except OSError as error:
-        raise SettingsError(str(file), [_whole(error.strerror or "unreadable")]) from None
+        raise SettingsError(str(file), [_file_fault(error.strerror or "unreadable")]) from None
     except (ValueError, UnicodeDecodeError) as error:
-        raise SettingsError(str(file), [_whole(str(error))]) from None
+        raise SettingsError(str(file), [_file_fault(str(error))]) from None
     faults = check(raw)
     if faults:
         raise SettingsError(str(file), faults)
-    return _filled(raw)
+    return _with_defaults(raw)
 
 
 def check(raw: Any) -> list[Fault]:
-    """Return all faults of decoded settings, in the order of their paths."""
+    """Return all faults of the decoded settings, sorted by path."""
     validator = Draft202012Validator(_SCHEMA)
-    return sorted(_fault(error) for error in validator.iter_errors(raw))
+    return sorted(_to_fault(error) for error in validator.iter_errors(raw))
 
 
-def _whole(problem: str) -> Fault:
+def _file_fault(problem: str) -> Fault:
     return Fault("(file)", problem, "a readable file of JSON with comments")
 
 
-def _filled(raw: dict[str, Any]) -> Settings:
+def _with_defaults(raw: dict[str, Any]) -> Settings:
     limits = {**_DEFAULTS["limits"], **raw.get("limits", {})}
     return cast(Settings, {**_DEFAULTS, **raw, "limits": limits})
 
 
-# --- the schema ------------------------------------------------------------
+# --- schema ----------------------------------------------------------------
 
 
 def _schema() -> dict[str, Any]:
@@ -181,30 +181,30 @@
     root = schema["$defs"]["Settings"]
     root["required"] = ["node", "platform", "keys"]
     for path, pattern in _PATTERNS.items():
-        _at(schema, path)["pattern"] = pattern
-    for path in _ABOVE_ZERO:
-        _at(schema, path)["exclusiveMinimum"] = 0
-    root["properties"]["peers"]["items"]["pattern"] = _ADDRESS
-    operators = _at(schema, "keys.operators")
-    operators["additionalProperties"] = {"type": "string", "pattern": _DIGEST}
+        _find_property(schema, path)["pattern"] = pattern
+    for path in _POSITIVE_PATHS:
+        _find_property(schema, path)["exclusiveMinimum"] = 0
+    root["properties"]["peers"]["items"]["pattern"] = _ADDRESS_PATTERN
+    operators = _find_property(schema, "keys.operators")
+    operators["additionalProperties"] = {"type": "string", "pattern": _DIGEST_PATTERN}
     operators["minProperties"] = 1
-    _at(schema, "keys.peer")["minLength"] = 16
+    _find_property(schema, "keys.peer")["minLength"] = 16
     return schema
 
 
-def _at(schema: dict[str, Any], path: str) -> dict[str, Any]:
-    place = schema["$defs"]["Settings"]
+def _find_property(schema: dict[str, Any], path: str) -> dict[str, Any]:
+    definition = schema["$defs"]["Settings"]
     for name in path.split("."):
-        place = place["properties"][name]
-        if "$ref" in place:
-            place = schema["$defs"][place["$ref"].rsplit("/", 1)[1]]
-    return place
+        definition = definition["properties"][name]
+        if "$ref" in definition:
+            definition = schema["$defs"][definition["$ref"].rsplit("/", 1)[1]]
+    return definition
 
 
 _SCHEMA = _schema()
 
 
-def _fault(error: ValidationError) -> Fault:
+def _to_fault(error: ValidationError) -> Fault:
     path = ".".join(str(step) for step in error.absolute_path) or "(top)"
     match error.validator:
         case "required":
@@ -216,7 +216,7 @@
             found = f"unknown {', '.join(map(repr, unknown))}"
             return Fault(path, found, f"one of {', '.join(sorted(known))}")
         case "pattern":
-            expected = f"text like {error.validator_value}"
+            expected = f"text that matches {error.validator_value}"
         case "type":
             expected = f"a value of type {error.validator_value}"
         case "exclusiveMinimum":
