--- a/packages/node/src/fielddrift_node/callers.py
+++ b/packages/node/src/fielddrift_node/callers.py
@@ -36,8 +36,9 @@
     """A WSGI application; each response except a streamed one is sent with its complete body.
 
     `entry` returns the entry answer for a model and `next_id` a new request id.
-    `ask_state` takes the id of a request and the name of its customer, and
-    returns the state of the request, whichever node accepted it, or None.
+    `find_state` takes the id of a request and the name of its customer, and
+    returns the state of the request, whichever node accepted it, or None if the
+    id is not that of a request.
     """
 
     def __init__(
@@ -47,13 +48,13 @@
         operators: Operators,
         entry: Callable[[str], EntryAnswer],
         next_id: Callable[[], str],
-        ask_state: Callable[[str, str], str | None],
+        find_state: Callable[[str, str], str | None],
     ) -> None:
         self._runtime = runtime
         self._operators = operators
         self._entry = entry
         self._next_id = next_id
-        self._ask_state = ask_state
+        self._find_state = find_state
         self._map = Map(
             [
                 Rule("/v1/entry", methods=["GET"], endpoint=self._get_entry),
@@ -112,7 +113,7 @@
         if outcome.is_err():
             return self._refuse(outcome.unwrap_err(), request_id)
         customer = exchange.customer.name
-        state = self._ask_state(wanted, customer)
+        state = self._find_state(wanted, customer)
         if state is not None:
             return _json({"id": wanted, "state": state})
         return self._claimed_state(customer, wanted, request_id)
--- a/packages/node/src/fielddrift_node/daemon.py
+++ b/packages/node/src/fielddrift_node/daemon.py
@@ -193,7 +193,7 @@
             operators=operators,
             entry=lambda model: self._cluster.entry(model, ttl_seconds),
             next_id=self._next_id,
-            ask_state=self._ask_state,
+            find_state=self._ask_state,
         )
 
     # --- lifecycle ---------------------------------------------------------
--- a/packages/node/src/fielddrift_node/duties.py
+++ b/packages/node/src/fielddrift_node/duties.py
@@ -205,7 +205,7 @@
     def _due(self, store: str) -> bool:
         """Return whether a store host is due for a round, and if so, start its next interval.
 
-        The rounds are spaced out because listing the prefixes of a host takes long.
+        The rounds are spaced out because the list of prefixes on a host is long.
         """
         now = clock.now()
         if now - self._reconciled_at.get(store, float("-inf")) < STORE_INTERVAL_SECONDS:
--- a/packages/node/src/fielddrift_node/exchange.py
+++ b/packages/node/src/fielddrift_node/exchange.py
@@ -106,8 +106,8 @@
         a retry under another key has the same fingerprint.
         """
         fields = self.call or self.completion or ()
-        asked = (field if isinstance(field, bytes) else repr(field).encode() for field in fields)
-        return fingerprint((self.customer.name.encode(), *asked))
+        encoded = (field if isinstance(field, bytes) else repr(field).encode() for field in fields)
+        return fingerprint((self.customer.name.encode(), *encoded))
 
     def begin_send(self, target: Target) -> None:
         """Record the process instance of the target and the time, just before a send."""
