--- a/packages/core/src/fielddrift_core/catalog.py
+++ b/packages/core/src/fielddrift_core/catalog.py
@@ -45,7 +45,7 @@
 
 
 class Route(NamedTuple):
-    """The settings for requests of one host and path prefix; times in seconds.
+    """The settings for requests with one HTTP host name and path prefix; times in seconds.
 
     `attempts` is the most targets that one request may be sent to.  `priority`
     orders classes of requests, 0 is the most urgent.  A `resumable` stream may be
@@ -125,7 +125,7 @@
 
 
 class CatalogCustomer(NamedTuple):
-    """A customer of the deployment; an `isolated` one shares no cached context."""
+    """A customer; an `isolated` one shares no cached context."""
 
     name: str
     isolated: bool = False
--- a/packages/core/src/fielddrift_core/claims.py
+++ b/packages/core/src/fielddrift_core/claims.py
@@ -4,7 +4,7 @@
 Only the row's claimant may send the request.  Another node takes the claim over
 only after the claimant has reported that it has not sent the request and never
 will.  Timeouts and leases do not count, so a claimant that was suspended or
-partitioned can cost the caller an answer, but never causes a second run.
+partitioned may leave the caller without an answer, but never causes a second run.
 """
 
 from __future__ import annotations
--- a/packages/core/src/fielddrift_core/cold_targets.py
+++ b/packages/core/src/fielddrift_core/cold_targets.py
@@ -1,8 +1,8 @@
-"""Divide the sends that a cold target can bear among the nodes, without coordination.
+"""Divide the sends that a cold target can handle among the nodes, without coordination.
 
-Load pattern: targets restart with empty caches, and so slowly, while callers are many, and
-every node finds them idle at the same moment.  A cold target can bear a limited number of
-requests per second from all nodes together, and fails far above it.
+After a restart the caches of a target are empty, so it is slow at first; all nodes find it idle
+at the same moment and would overload it.  A cold target can handle a limited number of requests
+per second from all nodes together, and fails far above it.
 
 A few nodes of the target's data centre own it while it is cold, chosen by rendezvous hashing
 among the recently active nodes, alive or not.  So nodes on two sides of a partition choose the
--- a/packages/core/src/fielddrift_core/model.py
+++ b/packages/core/src/fielddrift_core/model.py
@@ -46,7 +46,7 @@
 
 
 class Customer(NamedTuple):
-    """A tenant; its data is never accessible to another tenant.
+    """A customer; its data is never accessible to another customer.
 
     `key_digests` are SHA-256 digests of its bearer keys: a key is 256 random bits,
     so a plain digest reveals nothing about it.  `salt` is the key of the digests in
--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -36,7 +36,7 @@
 ]
 
 PREFILL_TOKENS_PER_SECOND = 50_000.0
-"""Prefill rate of an engine; the users' data sheet gives 56,900."""
+"""Prefill rate of an engine; its data sheet gives 56,900."""
 _BASE_SECONDS = 0.02
 """Part of the time to the first event that every run has: engine set-up and first step."""
 _PER_RUN_DELAY_SECONDS = 0.0015
@@ -73,7 +73,7 @@
 class PlacementCosts(NamedTuple):
     """Weights of the cost terms, relative to the value of a response in time.
 
-    They follow the users' data sheets: a `late` response loses four fifths of its value;
+    They follow the price list of responses: a `late` one loses four fifths of its value;
     prefilling a thousand tokens that a store keeps (`recomputed`) costs about 0.37 of the
     2.6 credits of a long prompt; moving the bytes of a long prompt to a `remote` data
     centre costs a twentieth; a response on `outdated` weights loses a fifth.  `time`
@@ -246,7 +246,7 @@
 ) -> EngineChoice | None:
     """Return the cheapest engine for `prompt`, or None if none can begin in time.
 
-    `latency_goal` is the target for the time to the first event, in seconds.  With
+    `latency_goal` is the desired time to the first event, in seconds.  With
     `memory_fraction`, only engines count that have room for the prompt within that fraction
     of their memory; engines that are loading or failing count only if all of them are.
     """
@@ -351,7 +351,7 @@
 
 
 _PLAIN_WORK_SECONDS = 0.045
-"""Work of a plain request by the users' data sheets; its latency goal is a few times longer."""
+"""Assumed work of a plain request; its latency goal is a few times longer."""
 _PLAIN_REMOTE_SECONDS = 0.01
 """Cost of a plain target in another data centre; low, since its requests are short."""
 _PLAIN_FAILURE_SECONDS = 2.0
--- a/packages/core/src/fielddrift_core/readers.py
+++ b/packages/core/src/fielddrift_core/readers.py
@@ -1,6 +1,6 @@
 """Select the nodes that read from the platform and from store hosts on behalf of the others.
 
-Each call to the platform costs its users, whichever node makes it.  So one node of a data
+Each call to the platform is charged for, whichever node makes it.  So one node of a data
 centre reads the rows, and the other nodes copy changes from it.  The readers of the data
 centres are ordered in the same way: the first one reads from the platform, the others copy
 from it.  When a reader fails or its state becomes stale, each node that relied on it reads
@@ -41,9 +41,10 @@
 """Age at which another data centre's reader is stale, as a fraction of the same time.  It is
 less than for a reader nearby, so that one node reads in its place and not all of them."""
 OPERATORS_POLL_SECONDS = 1.2
-"""How long a reader's long poll waits for changes of the operators' rows, and so their maximum
-age in normal operation.  A hanging call hides a change until it is given up, some 0.7 s later:
-a change is in force 2 s after its acknowledgement, or 3 s where connections hang."""
+"""Duration of a reader's long poll for changes of the operators' rows, and so their maximum age
+in normal operation.  If the call hangs, a change is seen only after the call's timeout, some
+0.7 s later.  A change must be in force 2 s after its acknowledgement, or 3 s if connections
+hang."""
 _STALE_FRACTION = 0.5
 """Age at which a reader's state is stale, as a fraction of the time within which nodes must know
 a write: the reader has missed a read, and half of the time is left."""
@@ -70,8 +71,8 @@
     `serial` changes with the content of the target list, not with each heartbeat of a target.
     `age` is that of the older one of two: the targets' entries, and the operators' rows less
     the wait of a long poll for these.  It grows until the node itself has a response again.
-    No field may be added: nodes of earlier releases reject a longer array, and the whole
-    heartbeat with it.
+    The number of fields is part of the message format: a node rejects a longer array, and
+    the whole heartbeat with it.
     """
 
     operators: int = 0
--- a/packages/core/src/fielddrift_core/retries.py
+++ b/packages/core/src/fielddrift_core/retries.py
@@ -1,9 +1,9 @@
 """Retry budgets, backoff, and circuit breakers for targets.
 
-Only requests that are idempotent, or that certainly did not start, are retried.  Retries draw
-on a budget that first tries fill; delays grow exponentially with jitter and never exceed the
-deadline.  A circuit breaker keeps requests away from a failing target, and now and then
-lets one through as a probe.
+Only requests that are idempotent, or that certainly did not start, are retried.  Retries
+are limited by a budget that grows with each first try; delays grow exponentially with jitter
+and never exceed the deadline.  A circuit breaker keeps requests away from a failing target, and
+now and then lets one through as a probe.
 """
 
 from __future__ import annotations
--- a/packages/core/src/fielddrift_core/rollout.py
+++ b/packages/core/src/fielddrift_core/rollout.py
@@ -46,12 +46,12 @@
 _RANK_CACHE_SIZE = 16
 """Rollouts whose engine order is cached: some models, each with a few sets of engines."""
 _MAX_VERSIONS = 4
-"""Versions of a model whose ages are shared and saved: the time limit for outdated weights
-ends before operators name a fifth version."""
+"""Number of newest versions of a model whose ages are shared and saved: the time limit for
+outdated weights ends before operators name a fifth version."""
 SAVED_ERROR_SECONDS = 0.5
-"""How much later a saved naming time may be than the one a node knows without being
-corrected.  The uncertainty of the node's own reading of the platform's clock is added; this
-constant covers that of the other nodes' readings."""
+"""A saved naming time is corrected only if it is later than the one that a node knows by more
+than this, plus the uncertainty of the node's own reading of the platform's clock.  This constant
+covers the uncertainty of the other nodes' readings."""
 _BEGIN_MARGIN_SECONDS = 0.5
 """Time before the limit for outdated weights at which a waiting request is cancelled: the
 cancellation reaches an engine within some ms, or some hundred ms over a faulty link."""
--- a/packages/core/src/fielddrift_core/routing.py
+++ b/packages/core/src/fielddrift_core/routing.py
@@ -247,7 +247,8 @@
 ) -> Choice | None:
     """Choose the cheapest pair.
 
-    Over all targets this is best with current loads; with outdated ones, nodes herd.
+    Over all targets this is best with current loads; with outdated ones, many nodes
+    choose the same target.
     """
     return cheapest(need, views)
 
--- a/packages/core/src/fielddrift_core/target_registry.py
+++ b/packages/core/src/fielddrift_core/target_registry.py
@@ -21,8 +21,9 @@
 LAPSE_GRACE_SECONDS = 2.3
 """Lapsed entries are written again within about two seconds of the store's return."""
 RESTORE_GRACE_SECONDS = 4.5
-"""How long an entry is not trusted that had ended here but is in the older copy from which the
-store was restored: without renewal it ends after three heartbeats, about four seconds."""
+"""Time after a restore of the store from an older copy during which an entry that had already
+ended here is ignored.  An entry that is not renewed expires within this time: after three
+heartbeats, about four seconds."""
 _MAX_ENDED_INSTANCES = 1000
 """Ended and leaving instances that are kept: those of one hour in which each target of a large
 fleet is replaced."""
@@ -75,8 +76,8 @@
         """The name of the listed instance, by target id."""
         self._leaving: set[str] = set()
         self._left: dict[str, None] = {}
-        """Names of instances reported to be leaving, listed or not, the latest last.  An entry
-        that lapses with the store and returns, or a copy, must not make them ready again."""
+        """Names of instances reported to be leaving, listed or not, the latest last.  Neither
+        an entry that returns after a lapse nor another node's copy may make them ready again."""
         self._lapsed: dict[str, float] = {}
         self._by_service: dict[str, list[Instance]] = {}
         self._lapse_grace_until = 0.0
@@ -247,8 +248,8 @@
     def tick(self, now: float, *, away: bool = False) -> None:
         """Remove lapsed entries whose grace period has ended.
 
-        While the store is `away`, entries are spared if all entries of their service have
-        lapsed: if a whole service seems to have ended, it is the store that has lost it.
+        While the store is `away`, entries are kept if all entries of their service have lapsed:
+        then the store has probably lost them, rather than the whole service having ended.
         """
         if self._unconfirmed and now >= self._restore_grace_until:
             # They have not ended since the store was restored, so their targets are alive.
--- a/packages/core/src/fielddrift_core/workload.py
+++ b/packages/core/src/fielddrift_core/workload.py
@@ -241,7 +241,7 @@
 
 
 _PEAK_WINDOW_SECONDS = 10
-"""How long a peak counts; longer than the periodic bursts of the users' traffic."""
+"""How long a peak counts; longer than the interval between periodic bursts of traffic."""
 
 
 class PeakRate:
--- a/packages/node/src/fielddrift_node/serving/attempts.py
+++ b/packages/node/src/fielddrift_node/serving/attempts.py
@@ -24,7 +24,8 @@
 _FIRST_SERVER_ERROR_STATUS = 500
 """The lowest status that counts as a failure of the target."""
 _NOT_REPEATABLE_MAX_IDLE_SECONDS = 0.4
-"""A reused connection that received data this recently is still open at its target."""
+"""Maximum idle time of a reused connection for a request that must not be sent twice: the target
+may have closed a connection that has been idle for longer."""
 
 _log = structlog.get_logger()
 
--- a/packages/node/src/fielddrift_node/serving/call.py
+++ b/packages/node/src/fielddrift_node/serving/call.py
@@ -160,7 +160,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return a hash of caller, host, method, target and body: the same for each retry.
+        """Return a hash of caller, HTTP host name, method, path and body, the same for each retry.
 
         A prompt without a body is identified by its model and parts.
         """
--- a/packages/node/src/fielddrift_node/serving/crash_watch.py
+++ b/packages/node/src/fielddrift_node/serving/crash_watch.py
@@ -35,8 +35,8 @@
 """Connect timeout. A connection within a region takes some ms; a lost SYN is resent after 1 s."""
 _TICK_SECONDS = 0.25
 _UPDATE_INTERVAL_SECONDS = 1.0
-"""Interval between updates to one random node. They make up for lost datagrams, and for updates
-that a disconnected or paused node missed, within 1 to 2 s, for one packet per second and node."""
+"""Interval between updates to one random node. They repeat, within 1 to 2 s, entries
+that were lost or that a disconnected or paused node missed, at one packet per second and node."""
 _MAX_ENTRY_COUNT = 20
 """Entries per datagram; an entry takes about 60 bytes."""
 _MAX_UPDATE_AGE_SECONDS = 30.0
--- a/packages/node/src/fielddrift_node/serving/heartbeats.py
+++ b/packages/node/src/fielddrift_node/serving/heartbeats.py
@@ -98,7 +98,7 @@
         if size is not None:
             self._neighbours.set_size(data_centre, DataCentreSize(size.running, size.memory))
         if views.workload.update_node(reporter, burdens, now):
-            # Only then has capacity been freed; waiting requests evaluate all engines again.
+            # True if capacity was freed: waiting requests evaluate all engines again.
             views.service_queues.wake_all()
         views.record_version_ages(heartbeat.named_ages, now)
         views.links.update_node(reporter, heartbeat.moves, now)
--- a/packages/node/src/fielddrift_node/serving/metrics.py
+++ b/packages/node/src/fielddrift_node/serving/metrics.py
@@ -21,7 +21,7 @@
 __all__ = ["Counter", "Gauge", "Histogram", "Metrics", "MetricsHandler"]
 
 _BUCKET_BOUNDS_SECONDS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.7, 1.0, 1.5, 2.5, 4.0, 8.0)
-"""Upper bounds of histogram buckets; fine around the users' latency goals of 0.15 to 0.54 s."""
+"""Upper bounds of histogram buckets; fine around the usual latency goals, 0.15 to 0.54 s."""
 _TEXT_HEADERS = Headers([(b"Content-Type", b"text/plain; version=0.0.4")])
 _LIFT_PATH = b"/lift/"
 _JSON_HEADERS = Headers([(b"Content-Type", b"application/json")])
--- a/packages/node/src/fielddrift_node/serving/operator_feed.py
+++ b/packages/node/src/fielddrift_node/serving/operator_feed.py
@@ -92,7 +92,8 @@
     def restart_poll(self) -> None:
         """Read at once, because a long poll may be lost."""
         self._read_immediately = True
-        # A plain read ends by itself, and might never complete if each call cancelled it.
+        # Only a long poll is cancelled: repeated calls of this method could otherwise keep a
+        # plain read, which ends by itself, from ever completing.
         if self._call_task is not None and self._in_long_poll:
             self._call_task.cancel()
 
--- a/packages/node/src/fielddrift_node/serving/ports.py
+++ b/packages/node/src/fielddrift_node/serving/ports.py
@@ -99,8 +99,9 @@
 class TargetChanges(NamedTuple):
     """Changed entries of targets, and the names of targets that ended.
 
-    With `whole` the entries are complete.  `unreadable` lists ids whose entries another writer
-    wrote: they are not usable targets, and were none while the store was unavailable.
+    With `whole` the entries are complete.  `unreadable` lists ids whose rows cannot be decoded,
+    as another writer wrote them: they name no usable target, and get no grace period after an
+    outage of the store.
     """
 
     entries: tuple[Instance, ...]
--- a/packages/node/src/fielddrift_node/serving/prompt_placement.py
+++ b/packages/node/src/fielddrift_node/serving/prompt_placement.py
@@ -37,7 +37,7 @@
 """Time without a first event, in estimates of it, after which a run moves to another engine."""
 _MAX_OUTDATED_FRACTION = 0.7
 """Fraction of the time for starting on outdated weights within which requests are sent.  The
-rest, about 3 s, suffices for nearly all that wait at a congested engine (at most 2.4 s seen);
+rest, about 3 s, suffices for nearly all that wait at a congested engine (up to 2.4 s);
 `StaleWeightsTimeout` cancels those that wait longer."""
 _MIN_WAIT_FRACTION = 0.25
 """Fraction of the latency goal for which a prompt may wait even if it will then be late: slow
--- a/packages/node/src/fielddrift_node/serving/target_listing.py
+++ b/packages/node/src/fielddrift_node/serving/target_listing.py
@@ -18,7 +18,10 @@
 
 
 class RegistrySnapshot(NamedTuple):
-    """The targets in a registry at one time; `lapsed` maps names to the seconds left."""
+    """The targets in a registry at one time.
+
+    `lapsed` maps the names of lapsed ones to the seconds for which they are still used.
+    """
 
     services: dict[str, str]
     leaving: frozenset[str]
--- a/packages/node/src/fielddrift_node/serving/views.py
+++ b/packages/node/src/fielddrift_node/serving/views.py
@@ -38,8 +38,8 @@
 """Cache time of the list of a service's engines. Each request needs the list, computing it takes
 some microseconds per engine, and the loading reported by other nodes lasts for a second or more."""
 _RETURNING_CALLERS_SECONDS = 3.0
-"""Time after a start in which callers return that could not be served before; they wait at most 1
-to 2 s between attempts."""
+"""Time after a start in which most requests are retries of callers that could not be served before;
+these wait at most 1 to 2 s between attempts."""
 
 
 class CandidateEngines(NamedTuple):
