--- a/packages/core/src/fielddrift_core/drain_window.py
+++ b/packages/core/src/fielddrift_core/drain_window.py
@@ -12,9 +12,9 @@
 __all__ = ["DrainWindow", "max_response_seconds"]
 
 _ACCEPT_ALL_SECONDS = 2.5
-"""Time after the signal within which every request is accepted.  Callers may send requests to
-the node for 3 s after the signal and accept that the response is cut at the end of the grace
-period; the difference allows for the transit of the request."""
+"""Time after the signal within which every request is accepted.  A response that is cut at the
+end of the grace period does not count as a failure if its request was sent within 3 s of the
+signal; the difference allows for the transit of the request."""
 _SECONDS_PER_TOKEN = 0.08
 """Time per token at a crowded engine, more than twice the usual one: a response that the stop
 would cut is better refused at once."""
--- a/packages/core/src/fielddrift_core/placement.py
+++ b/packages/core/src/fielddrift_core/placement.py
@@ -36,7 +36,7 @@
 ]
 
 PREFILL_TOKENS_PER_SECOND = 50_000.0
-"""Prefill rate of an engine; its data sheet gives 56,900."""
+"""Prefill rate of an engine; the operators' data sheet gives 56,900."""
 _BASE_SECONDS = 0.02
 """Part of the time to the first event that every run has: engine set-up and first step."""
 _PER_RUN_DELAY_SECONDS = 0.0015
@@ -73,7 +73,7 @@
 class PlacementCosts(NamedTuple):
     """Weights of the cost terms, relative to the value of a response in time.
 
-    They follow the price list of responses: a `late` one loses four fifths of its value;
+    They follow the operators' data sheets: a `late` response loses four fifths of its value;
     prefilling a thousand tokens that a store keeps (`recomputed`) costs about 0.37 of the
     2.6 credits of a long prompt; moving the bytes of a long prompt to a `remote` data
     centre costs a twentieth; a response on `outdated` weights loses a fifth.  `time`
@@ -351,7 +351,7 @@
 
 
 _PLAIN_WORK_SECONDS = 0.045
-"""Assumed work of a plain request; its latency goal is a few times longer."""
+"""Work of a plain request by the operators' data sheets; its latency goal is a few times longer."""
 _PLAIN_REMOTE_SECONDS = 0.01
 """Cost of a plain target in another data centre; low, since its requests are short."""
 _PLAIN_FAILURE_SECONDS = 2.0
